--- a/crates/citronway-core/benches/gateway_fleet.rs
+++ b/crates/citronway-core/benches/gateway_fleet.rs
@@ -6,8 +6,8 @@
 use citronway_core::gateway::assignment::{Assignment, Holder, Range};
 use citronway_core::gateway::election::Strength;
 use citronway_core::gateway::pace::{Answers, EndpointTag};
-use citronway_core::gateway::report::{EndpointUse, Seen};
-use citronway_core::gateway::tree::{Candidate, Gathered, Tree};
+use citronway_core::gateway::report::{EndpointUse, Observations};
+use citronway_core::gateway::tree::{Candidate, GatheredReports, Tree};
 use citronway_core::ids::{EndpointStart, InstanceName, ZoneName};
 use citronway_core::time::Mono;
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
@@ -31,7 +31,7 @@
             heard: Some(now),
             heard_directly: Some(now),
             strength: Strength(200),
-            stays: true,
+            is_staying: true,
         };
         let all: Vec<_> = names.iter().enumerate().map(candidate).collect();
         let mut tree = Tree::default();
@@ -59,14 +59,14 @@
         let reports: Vec<Vec<_>> = (0..members)
             .map(|member| (0..10).map(|i| used(member * 7 + i * 13)).collect())
             .collect();
-        let mut gathered = Gathered::default();
+        let mut gathered = GatheredReports::default();
         group.bench_function(BenchmarkId::from_parameter(members), |b| {
             b.iter(|| {
                 for report in &reports {
                     gathered.add(report, &[]);
                 }
                 let in_flight = reports.iter().flatten().map(|used| (used.tag, 1, 0));
-                black_box(gathered.with(&Seen::default(), in_flight))
+                black_box(gathered.take_with(&Observations::default(), in_flight))
             });
         });
     }
--- a/crates/citronway-core/src/gateway/admission/choose.rs
+++ b/crates/citronway-core/src/gateway/admission/choose.rs
@@ -3,8 +3,8 @@
 use crate::gateway::admission::{Admission, Choice, Job, RefusalReason, Standing, View};
 use crate::gateway::assignment::Range;
 use crate::gateway::pace::EndpointTag;
-use crate::gateway::registry::Known;
-use crate::gateway::report::MOST_TELL_ALL;
+use crate::gateway::registry::ListedEndpoint;
+use crate::gateway::report::MAX_FULL_MESH;
 use crate::gateway::share::{self, Demand};
 use crate::time::Mono;
 
@@ -118,7 +118,7 @@
         let Some(known) = view.registry.get(&holder.endpoint) else {
             return Finding::Wait(RefusalReason::KeyUnowned);
         };
-        if !known.takes_owned_work(now) {
+        if !known.accepts_owned_work(now) {
             return Finding::Wait(without_owner(view, job));
         }
         let tag = EndpointTag::of(&holder.endpoint);
@@ -159,8 +159,8 @@
         }
         let endpoints: Vec<_> = view
             .registry
-            .of(&job.service)
-            .filter(|known| known.takes_work())
+            .of_service(&job.service)
+            .filter(|known| known.accepts_work())
             .collect();
         if endpoints.is_empty() {
             let cause = if is_evacuated(view, job) {
@@ -255,7 +255,7 @@
         &self,
         now: Mono,
         view: &View,
-        known: &Known,
+        known: &ListedEndpoint,
         tag: EndpointTag,
         waiting: u32,
         work_ms: u64,
@@ -265,21 +265,21 @@
             rank: view.rank,
             wanted: in_flight + waiting,
         };
-        let places = share::places(known.listing.slots);
+        let places = share::in_flight_limit(known.listing.slots);
         let standing = view.standings.get(&tag);
         if let Some(sum) = standing.filter(|standing| standing.is_sum) {
             let all_in_flight = in_flight + still_in_flight(sum.in_flight, work_ms);
             let all_waiting = waiting + sum.waiting;
             let chance = chance(now, view.rank, tag);
-            return share::part_of_free(places, all_in_flight, waiting, all_waiting, chance) > 0;
+            return share::share_of_free(places, all_in_flight, waiting, all_waiting, chance) > 0;
         }
         let others = standing.map_or(&[][..], |standing| &standing.others);
-        let allowed = share::allowed(places, me, others);
+        let allowed = share::fair_share(places, me, others);
         in_flight < allowed
     }
 
     /// Time until a request would be done there, in units of an average request.
-    fn load(&self, now: Mono, view: &View, known: &Known, tag: EndpointTag) -> f64 {
+    fn load(&self, now: Mono, view: &View, known: &ListedEndpoint, tag: EndpointTag) -> f64 {
         let unknown = Standing::unknown();
         let standing = view.standings.get(&tag).unwrap_or(&unknown);
         let in_flight = self.in_flight.get(&tag).copied().unwrap_or_default();
@@ -302,11 +302,11 @@
 
 /// Whether endpoints of the service are there, all of those that stay in evacuated zones.
 fn is_evacuated(view: &View, job: &Job) -> bool {
-    let mut stay = view.registry.of(&job.service);
+    let mut stay = view.registry.of_service(&job.service);
     let mut any = false;
     let all = stay.all(|known| {
         any |= known.is_evacuated();
-        !known.takes_work()
+        !known.accepts_work()
     });
     all && any
 }
@@ -320,7 +320,7 @@
 }
 
 /// Load that is added for the bytes of an answer from another availability zone.
-fn way_of_answer(view: &View, known: &Known, job: &Job) -> f64 {
+fn way_of_answer(view: &View, known: &ListedEndpoint, job: &Job) -> f64 {
     if known.listing.zone == view.zone {
         return 0.0;
     }
@@ -359,17 +359,17 @@
     turn: u64,
     /// How often it is drawn, beside others.
     weight: f64,
-    known: &'a Known,
+    known: &'a ListedEndpoint,
 }
 
 /// Whether what the others have at endpoints is told later than the work takes.
 fn is_told_late(view: &View, job: &Job) -> bool {
-    view.instances as usize > MOST_TELL_ALL && (job.work_ms as f64) < SUMS_AGE_MS
+    view.instances as usize > MAX_FULL_MESH && (job.work_ms as f64) < SUMS_AGE_MS
 }
 
 /// Part of all requests that an endpoint is to get beside others: what it can do, and less of
 /// it from another zone.
-fn weight(now: Mono, view: &View, known: &Known, tag: EndpointTag) -> f64 {
+fn weight(now: Mono, view: &View, known: &ListedEndpoint, tag: EndpointTag) -> f64 {
     let unknown = Standing::unknown();
     let standing = view.standings.get(&tag).unwrap_or(&unknown);
     let cold = if known.is_cold(now) {
@@ -436,8 +436,8 @@
             .map_or(1, |known| known.listing.slots),
         None => view
             .registry
-            .of(&job.service)
-            .filter(|known| known.takes_work())
+            .of_service(&job.service)
+            .filter(|known| known.accepts_work())
             .map(|known| known.listing.slots)
             .sum(),
     };
--- a/crates/citronway-core/src/gateway/admission/mod.rs
+++ b/crates/citronway-core/src/gateway/admission/mod.rs
@@ -248,19 +248,19 @@
     pub fn load_told(&mut self, view: &View, service: &ServiceName, load: Option<EndpointLoad>) {
         let in_flight = self.in_flight_at(view, service);
         let limit = self.limits.entry(service.clone()).or_default();
-        limit.answered(load, in_flight);
+        limit.record_answer(load, in_flight);
     }
 
     /// Notes that an endpoint of a service without keys had no room for a request.
     pub fn turned_away(&mut self, now: Mono, view: &View, service: &ServiceName) {
         let in_flight = self.in_flight_at(view, service);
         let limit = self.limits.entry(service.clone()).or_default();
-        limit.turned_away(now, in_flight);
+        limit.record_rejection(now, in_flight);
     }
 
     /// Requests of this instance at all endpoints of a service.
     fn in_flight_at(&self, view: &View, service: &ServiceName) -> u32 {
-        let all = view.registry.of(service);
+        let all = view.registry.of_service(service);
         let tags = all.map(|known| EndpointTag::of(&known.listing.start));
         tags.filter_map(|tag| self.in_flight.get(&tag)).sum()
     }
--- a/crates/citronway-core/src/gateway/budget.rs
+++ b/crates/citronway-core/src/gateway/budget.rs
@@ -27,7 +27,7 @@
 
 impl FleetSize {
     /// Takes what a leader tells.
-    pub const fn told(&mut self, now: Mono, count: u32) {
+    pub const fn update(&mut self, now: Mono, count: u32) {
         let is_old = now.since(self.told) >= LARGER_STANDS_MS;
         if count >= self.count || is_old {
             self.count = count;
@@ -44,7 +44,7 @@
 
 /// Limit on second sends that all instances together keep.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SharedLimit {
+pub struct RetryLimit {
     /// Second sends for each request.
     pub ratio: f64,
     /// Second sends that are free in a window, over all instances.
@@ -58,8 +58,8 @@
 /// Each instance takes its own requests' share of the ratio and an equal part of
 /// the slack, so that the sum stays within the limit without asking anyone.
 #[derive(Debug)]
-pub struct SecondSends {
-    limit: SharedLimit,
+pub struct SharedRetryBudget {
+    limit: RetryLimit,
     slices: VecDeque<Slice>,
 }
 
@@ -70,10 +70,10 @@
     repeats: u32,
 }
 
-impl SecondSends {
+impl SharedRetryBudget {
     /// Nothing counted yet.
     #[must_use]
-    pub const fn new(limit: SharedLimit) -> Self {
+    pub const fn new(limit: RetryLimit) -> Self {
         Self {
             limit,
             slices: VecDeque::new(),
@@ -81,13 +81,13 @@
     }
 
     /// Counts a request of a caller.
-    pub fn request(&mut self, now: Mono) {
+    pub fn record_request(&mut self, now: Mono) {
         self.slice(now).requests += 1;
     }
 
     /// Takes one second send, if `instances` share the limit; false if none is left.
-    pub fn take(&mut self, now: Mono, instances: u32) -> bool {
-        if self.left(now, instances) < 1.0 {
+    pub fn try_take(&mut self, now: Mono, instances: u32) -> bool {
+        if self.remaining(now, instances) < 1.0 {
             return false;
         }
         self.slice(now).repeats += 1;
@@ -95,7 +95,7 @@
     }
 
     /// Second sends that are left in the window.
-    pub fn left(&mut self, now: Mono, instances: u32) -> f64 {
+    pub fn remaining(&mut self, now: Mono, instances: u32) -> f64 {
         let _ = self.slice(now);
         let requests = self
             .slices
--- a/crates/citronway-core/src/gateway/cold.rs
+++ b/crates/citronway-core/src/gateway/cold.rs
@@ -30,7 +30,7 @@
     /// Requests a second that all instances together may send there.
     pub per_s: f64,
     /// How long the request would wait for its turn, in milliseconds.
-    pub patience_ms: u64,
+    pub max_wait_ms: u64,
 }
 
 /// What is decided about it.
@@ -50,13 +50,13 @@
 
 /// What a leader knows of others that may grant sends beside it.
 #[derive(Debug, Clone, Copy)]
-pub struct Office {
+pub struct LeaderStanding {
     /// Start of the newest call by which the store confirmed it.
-    pub contact: Mono,
+    pub confirmed_at: Mono,
     /// What earlier leaders may still do.
     pub rivals: Rivals,
     /// Earlier leaders that are not known to have stopped.
-    pub earlier: u32,
+    pub earlier_leaders: u32,
 }
 
 /// Which part of all sends a leader grants now; none if it grants nothing.
@@ -66,13 +66,13 @@
 /// confirmed for a while leaves half to a successor, and each successor half of its part to
 /// those before it for as long as they may be at work.
 #[must_use]
-pub fn granted_part(now: Mono, cfg: &LeaderSettings, office: &Office) -> Option<f64> {
-    let unconfirmed_ms = now.since(office.contact);
+pub fn granted_share(now: Mono, cfg: &LeaderSettings, office: &LeaderStanding) -> Option<f64> {
+    let unconfirmed_ms = now.since(office.confirmed_at);
     if unconfirmed_ms >= cfg.contact_limit_ms || now < office.rivals.connect_until {
         return None;
     }
     let earlier = if now < office.rivals.hold_until {
-        office.earlier
+        office.earlier_leaders
     } else {
         0
     };
@@ -82,20 +82,20 @@
 
 /// Sends of the whole fleet to cold endpoints, as the leader grants them.
 #[derive(Debug, Default)]
-pub struct ColdSends {
+pub struct ColdSendLimiter {
     /// Until then none is granted.
     not_before: Mono,
     /// When the next send would be due at an even pace, by endpoint, in milliseconds.
     due: IndexMap<EndpointTag, f64>,
 }
 
-impl ColdSends {
+impl ColdSendLimiter {
     /// None so far, and none is granted for a while.
     ///
     /// Failure guarded against: the leader changes, its successor knows nothing of what was
     /// granted a moment ago, and the endpoint gets twice as much.
     #[must_use]
-    pub fn of_new_leader(now: Mono) -> Self {
+    pub fn for_new_leader(now: Mono) -> Self {
         Self {
             not_before: now.plus(FORMER_GRANTS_MS),
             ..Self::default()
@@ -103,7 +103,12 @@
     }
 
     /// Decides about a send by a leader that grants this part of all.
-    pub fn request_of(&mut self, now: Mono, req: &ColdRequest, part: Option<f64>) -> ColdGrant {
+    pub fn request_with_share(
+        &mut self,
+        now: Mono,
+        req: &ColdRequest,
+        part: Option<f64>,
+    ) -> ColdGrant {
         let Some(part) = part else {
             let for_ms = FORMER_GRANTS_MS;
             return ColdGrant::Busy { for_ms };
@@ -129,7 +134,7 @@
             reason = "a wait is positive and far below the range"
         )]
         let wait_ms = (earliest - now.0 as f64).ceil() as u64;
-        if wait_ms > req.patience_ms {
+        if wait_ms > req.max_wait_ms {
             let for_ms = wait_ms.max(MIN_BUSY_MS);
             return ColdGrant::Busy { for_ms };
         }
--- a/crates/citronway-core/src/gateway/election.rs
+++ b/crates/citronway-core/src/gateway/election.rs
@@ -16,7 +16,7 @@
 ///
 /// Ten reports of 100 ms: loss of a few datagrams replaces nobody, and the first
 /// renewal of the successor still comes well within a hold of 3.5 s.
-pub const SILENCE_MS: u64 = 1_000;
+pub const LEADER_SILENT_MS: u64 = 1_000;
 
 /// How much later each instance claims than the one before it, in milliseconds.
 ///
@@ -27,12 +27,12 @@
 ///
 /// Failure: the store comes back, one instance claims, and the others still have its
 /// report of a moment ago, by which it could not reach the store; each claims in turn.
-pub const TAKE_UP_MS: u64 = 300;
+pub const TAKEOVER_GRACE_MS: u64 = 300;
 
 /// Time after the start before a silent leader is replaced, in milliseconds.
 ///
 /// A process that has just started has not yet had the time to hear anyone.
-pub const SETTLE_MS: u64 = 700;
+pub const STARTUP_GRACE_MS: u64 = 700;
 
 /// How much later the weakest machine claims a duty that nobody ever had than the
 /// strongest, in milliseconds: machines start within 300 ms of each other.
@@ -84,14 +84,14 @@
     /// Grows with each change of the leader.
     pub term: u64,
     /// Earlier leaders that may still be at work without knowing of this one.
-    pub former: Vec<Former>,
+    pub former: Vec<FormerLeader>,
     /// Version of the row.
     pub version: Version,
 }
 
 /// An earlier leader that may still be at work.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Former {
+pub struct FormerLeader {
     /// Which process.
     pub session: Session,
     /// When the last hold that it can have given has ended, in milliseconds of the
@@ -101,7 +101,7 @@
 
 /// What an instance knows of another when it thinks of claiming.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PeerSight {
+pub struct PeerState {
     /// Which instance.
     pub instance: InstanceName,
     /// Start of its process.
@@ -122,7 +122,7 @@
 
 /// What decides whether to claim.
 #[derive(Debug, Clone, Copy)]
-pub struct Situation<'a> {
+pub struct ElectionView<'a> {
     /// This instance.
     pub me: &'a InstanceName,
     /// Start of this process.
@@ -140,18 +140,18 @@
     /// When the present leader was first seen in the row.
     pub row_seen: Mono,
     /// Other instances.
-    pub peers: &'a [PeerSight],
+    pub peers: &'a [PeerState],
     /// Who claims first, as the last leader told; none in a fleet where all tell all.
     pub standbys: &'a [InstanceName],
     /// Instances that there are, this one included.
     pub instances: usize,
     /// There are too many for all to hear all.
-    pub many: bool,
+    pub is_large_fleet: bool,
 }
 
 /// Whether this instance should claim the duty now.
 #[must_use]
-pub fn should_claim(now: Mono, at: &Situation<'_>) -> bool {
+pub fn should_claim(now: Mono, at: &ElectionView<'_>) -> bool {
     if at.unfit {
         return false;
     }
@@ -161,7 +161,7 @@
         None => Some(at.started.plus(at.strength.delay_ms())),
         Some(row) => {
             let since = vacant_since(now, at, row);
-            since.map(|since| since.max(at.row_seen.plus(TAKE_UP_MS)))
+            since.map(|since| since.max(at.row_seen.plus(TAKEOVER_GRACE_MS)))
         }
     };
     let Some(since) = vacant_since else {
@@ -169,26 +169,29 @@
     };
     let steps = match at.row {
         // Nobody has heard of anybody.
-        None => rank_of(at.me) % FIRST_STEPS,
+        None => rank_of(at.me) % FIRST_CLAIM_STEPS,
         Some(_) => rank(now, at),
     };
     now >= since.plus(steps * CLAIM_STEP_MS)
 }
 
 /// Since when the leader does not do its work, if it does not.
-fn vacant_since(now: Mono, at: &Situation<'_>, row: &LeaderRow) -> Option<Mono> {
+fn vacant_since(now: Mono, at: &ElectionView<'_>, row: &LeaderRow) -> Option<Mono> {
     if row.instance == *at.me {
         // An earlier start of this process; it holds this instance's address, so
         // that one has ended.
         return (row.session != at.session).then_some(at.started);
     }
     let Some(peer) = at.peers.iter().find(|peer| peer.instance == row.instance) else {
-        return Some(at.started.plus(SETTLE_MS)).filter(|end| *end <= now);
+        return Some(at.started.plus(STARTUP_GRACE_MS)).filter(|end| *end <= now);
     };
     if peer.session != row.session || peer.stopping || peer.unfit {
         return Some(peer.since);
     }
-    let silent_at = peer.heard.plus(SILENCE_MS).max(at.started.plus(SETTLE_MS));
+    let silent_at = peer
+        .heard
+        .plus(LEADER_SILENT_MS)
+        .max(at.started.plus(STARTUP_GRACE_MS));
     (silent_at <= now).then_some(silent_at)
 }
 
@@ -200,7 +203,7 @@
 
 /// Whether this instance is to be among the first to claim if the leader does not return.
 #[must_use]
-pub fn watches(now: Mono, at: &Situation<'_>) -> bool {
+pub fn watches_store(now: Mono, at: &ElectionView<'_>) -> bool {
     rank(now, at) < WATCHERS
 }
 
@@ -217,15 +220,15 @@
 ///
 /// Load: all machines start within 0.3 s; of 21 that claimed at once, 20 were refused by
 /// the store. Whoever hears of a leader does not claim.
-pub const FIRST_STEPS: u64 = 6;
+pub const FIRST_CLAIM_STEPS: u64 = 6;
 
 /// How many steps this instance waits for others that claim before it.
-fn rank(now: Mono, at: &Situation<'_>) -> u64 {
+fn rank(now: Mono, at: &ElectionView<'_>) -> u64 {
     // It has the leader's address and knows that the start before it has ended.
     if at.row.is_some_and(|row| row.instance == *at.me) {
         return 0;
     }
-    if !at.many {
+    if !at.is_large_fleet {
         return heard_before(now, at);
     }
     if let Some(place) = at.standbys.iter().position(|standby| standby == at.me) {
@@ -240,9 +243,9 @@
 }
 
 /// How many fit instances that are heard go before this one.
-fn heard_before(now: Mono, at: &Situation<'_>) -> u64 {
+fn heard_before(now: Mono, at: &ElectionView<'_>) -> u64 {
     let before = at.peers.iter().filter(|peer| {
-        let heard = now.since(peer.heard) < SILENCE_MS;
+        let heard = now.since(peer.heard) < LEADER_SILENT_MS;
         let goes_first = match peer.strength.cmp(&at.strength) {
             Ordering::Greater => true,
             Ordering::Equal => peer.instance < *at.me,
@@ -255,9 +258,9 @@
 
 /// Who is to claim first when the leader falls silent: the strongest that are heard and fit.
 #[must_use]
-pub fn standbys(now: Mono, peers: &[PeerSight]) -> Vec<InstanceName> {
+pub fn standbys(now: Mono, peers: &[PeerState]) -> Vec<InstanceName> {
     let fit = peers.iter().filter(|peer| {
-        let heard = now.since(peer.heard) < SILENCE_MS;
+        let heard = now.since(peer.heard) < LEADER_SILENT_MS;
         heard && !peer.stopping && !peer.unfit
     });
     let mut fit: Vec<_> = fit.collect();
@@ -269,12 +272,12 @@
 /// Earlier leaders that may still be at work after the leader in `row` is replaced at
 /// `store_ms` of the store's clock; each is to be waited for `wait_ms` at most.
 #[must_use]
-pub fn former_after(
+pub fn former_leaders_after(
     row: Option<&LeaderRow>,
-    peers: &[PeerSight],
+    peers: &[PeerState],
     store_ms: u64,
     wait_ms: u64,
-) -> Vec<Former> {
+) -> Vec<FormerLeader> {
     let Some(row) = row else {
         return Vec::new();
     };
@@ -288,7 +291,7 @@
         id: row.session,
     };
     if !has_ended(&last, peers) {
-        former.push(Former {
+        former.push(FormerLeader {
             session: last,
             free_at_ms: store_ms + wait_ms,
         });
@@ -303,10 +306,10 @@
 /// Failure guarded against: the answer to a claim is lost and the store takes it seconds
 /// later. Until then it confirms the earlier leader, whose end was reckoned from the sending.
 #[must_use]
-pub fn holds_until(
+pub fn former_holds_until(
     now: Mono,
     cfg: &LeaderSettings,
-    former: &[Former],
+    former: &[FormerLeader],
     store_ms: Option<u64>,
     claimed: Mono,
 ) -> Mono {
@@ -325,7 +328,7 @@
 
 /// Whether a process is known to have ended: its instance has started anew.
 #[must_use]
-pub fn has_ended(session: &Session, peers: &[PeerSight]) -> bool {
+pub fn has_ended(session: &Session, peers: &[PeerState]) -> bool {
     peers
         .iter()
         .any(|peer| peer.instance == session.instance && peer.session != session.id)
@@ -333,7 +336,7 @@
 
 /// Whether an earlier leader has ended or knows of `term` and so gives no holds.
 #[must_use]
-pub fn has_stopped(session: &Session, term: u64, peers: &[PeerSight]) -> bool {
+pub fn has_stopped(session: &Session, term: u64, peers: &[PeerState]) -> bool {
     has_ended(session, peers)
         || peers
             .iter()
--- a/crates/citronway-core/src/gateway/evacuation.rs
+++ b/crates/citronway-core/src/gateway/evacuation.rs
@@ -18,7 +18,7 @@
         since: Option<Mono>,
     },
     /// It was evacuated and is taken back.
-    TakenBack,
+    Restored,
 }
 
 /// A change that the log names.
@@ -48,7 +48,7 @@
     /// Takes the row of a zone, or that it was removed; none if nothing changes.
     ///
     /// Rows overtake each other on their way, so the newest version counts.
-    pub fn row_seen(
+    pub fn apply_row(
         &mut self,
         zone: &ZoneName,
         version: Version,
@@ -61,8 +61,8 @@
         let before = known.map(|known| known.state);
         let changes = match (before, state) {
             (Some(ZoneState::Evacuated { .. }), ZoneState::Evacuated { .. })
-            | (None | Some(ZoneState::TakenBack), ZoneState::TakenBack) => false,
-            (_, ZoneState::Evacuated { .. } | ZoneState::TakenBack) => true,
+            | (None | Some(ZoneState::Restored), ZoneState::Restored) => false,
+            (_, ZoneState::Evacuated { .. } | ZoneState::Restored) => true,
         };
         // A row that is written again begins no new time.
         let state = if changes {
@@ -80,10 +80,14 @@
 
     /// Takes which zones had a row at all when the store had a version: the others are taken
     /// back.
-    pub fn listed(&mut self, zones: &IndexSet<ZoneName>, version: Version) -> Vec<ZoneChange> {
+    pub fn apply_listing(
+        &mut self,
+        zones: &IndexSet<ZoneName>,
+        version: Version,
+    ) -> Vec<ZoneChange> {
         let known: Vec<_> = self.zones.keys().cloned().collect();
         let gone = known.iter().filter(|zone| !zones.contains(*zone));
-        gone.filter_map(|zone| self.row_seen(zone, version, ZoneState::TakenBack))
+        gone.filter_map(|zone| self.apply_row(zone, version, ZoneState::Restored))
             .collect()
     }
 
@@ -93,7 +97,7 @@
             .iter()
             .filter_map(|(zone, known)| match known.state {
                 ZoneState::Evacuated { since } => Some((zone, since)),
-                ZoneState::TakenBack => None,
+                ZoneState::Restored => None,
             })
     }
 }
--- a/crates/citronway-core/src/gateway/keyload.rs
+++ b/crates/citronway-core/src/gateway/keyload.rs
@@ -54,7 +54,7 @@
     }
 
     /// Lets old samples fade.
-    pub fn fade(&mut self, now: Mono) {
+    pub fn decay(&mut self, now: Mono) {
         let by = (-(now.since(self.faded_at) as f64) / self.half_life_ms).exp2();
         self.total *= by;
         self.faded_at = now;
@@ -74,7 +74,7 @@
 
     /// The key of a span that is asked for most, and its load.
     #[must_use]
-    pub fn heaviest(&self, span: Span) -> (u16, f64) {
+    pub fn hottest(&self, span: Span) -> (u16, f64) {
         let mut found = (span.first, 0.0);
         for key in span.first..=span.last {
             let weight = f64::from(self.weight[usize::from(key)]);
@@ -137,15 +137,15 @@
     }
 
     /// Lets old samples fade.
-    pub fn fade(&mut self, now: Mono) {
-        self.steady.fade(now);
-        self.recent.fade(now);
+    pub fn decay(&mut self, now: Mono) {
+        self.steady.decay(now);
+        self.recent.decay(now);
     }
 
     /// Load of a span, in requests a second.
     #[must_use]
     pub fn of(&self, span: Span) -> f64 {
-        self.by(self.look_at(span, false)).of(span)
+        self.rates(self.window_for(span, false)).of(span)
     }
 
     /// Requests a second that a new request adds to the steady load of its key.
@@ -160,26 +160,26 @@
     /// were dealt out, after 0.3 s. That it has more than it can do is known by its queue
     /// (`queued`), so the short look is believed where it says so.
     #[must_use]
-    pub fn look_at(&self, span: Span, queued: bool) -> Look {
+    pub fn window_for(&self, span: Span, queued: bool) -> LoadWindow {
         let steady = self.steady.of(span) * self.steady.per_second() * self.surge();
         let expected = steady / self.recent.per_second();
         let recent = self.recent.of(span);
         if has_changed(recent, expected) || (queued && recent > expected) {
-            Look::Recent
+            LoadWindow::Recent
         } else {
-            Look::Steady
+            LoadWindow::Steady
         }
     }
 
     /// The loads by one look.
     #[must_use]
-    pub fn by(&self, look: Look) -> Rates<'_> {
+    pub fn rates(&self, look: LoadWindow) -> Rates<'_> {
         match look {
-            Look::Recent => Rates {
+            LoadWindow::Recent => Rates {
                 load: &self.recent,
                 per_second: self.recent.per_second(),
             },
-            Look::Steady => Rates {
+            LoadWindow::Steady => Rates {
                 load: &self.steady,
                 per_second: self.steady.per_second() * self.surge(),
             },
@@ -204,7 +204,7 @@
 
 /// A longer or a shorter time in which requests were counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Look {
+pub enum LoadWindow {
     /// The longer one.
     Steady,
     /// The shorter one.
@@ -233,8 +233,8 @@
 
     /// The key of a span that is asked for most, and its load.
     #[must_use]
-    pub fn heaviest(&self, span: Span) -> (u16, f64) {
-        let (key, weight) = self.load.heaviest(span);
+    pub fn hottest(&self, span: Span) -> (u16, f64) {
+        let (key, weight) = self.load.hottest(span);
         (key, weight * self.per_second)
     }
 
--- a/crates/citronway-core/src/gateway/limit.rs
+++ b/crates/citronway-core/src/gateway/limit.rs
@@ -43,7 +43,7 @@
     /// Whether more wait there than keep its slots supplied.
     #[must_use]
     pub fn has_queue(&self) -> bool {
-        let supply = share::places(self.slots) - self.slots;
+        let supply = share::in_flight_limit(self.slots) - self.slots;
         self.waiting >= supply.max(1)
     }
 }
@@ -67,7 +67,7 @@
 impl ServiceLimit {
     /// Takes an answer; `load` is what the endpoint said of itself, `in_flight` how many
     /// requests were there.
-    pub fn answered(&mut self, load: Option<EndpointLoad>, in_flight: u32) {
+    pub fn record_answer(&mut self, load: Option<EndpointLoad>, in_flight: u32) {
         if load.is_some_and(|load| load.has_queue()) {
             self.shrink(in_flight, QUEUED_LEAVES);
             return;
@@ -80,7 +80,7 @@
     }
 
     /// Takes that an endpoint had no room for a request, beside so many of this instance.
-    pub fn turned_away(&mut self, now: Mono, in_flight: u32) {
+    pub fn record_rejection(&mut self, now: Mono, in_flight: u32) {
         if now.since(self.turned_away) < TURNED_AWAY_ONCE_MS {
             return;
         }
--- a/crates/citronway-core/src/gateway/outage.rs
+++ b/crates/citronway-core/src/gateway/outage.rs
@@ -21,7 +21,7 @@
 impl Outage {
     /// Takes the newest versions that others report; `lost` while the store does not
     /// answer this instance.
-    pub fn heard(&mut self, now: Mono, lost: bool, newest: Versions) {
+    pub fn observe(&mut self, now: Mono, lost: bool, newest: Versions) {
         // Each of them only grows.
         let newest = newest.config + newest.endpoints + newest.own;
         if !lost {
@@ -40,7 +40,7 @@
 
     /// Whether the store went on for others while it was lost here.
     #[must_use]
-    pub const fn is_own(&self) -> bool {
+    pub const fn is_local(&self) -> bool {
         self.own
     }
 }
--- a/crates/citronway-core/src/gateway/pace.rs
+++ b/crates/citronway-core/src/gateway/pace.rs
@@ -63,7 +63,7 @@
         self.failed += other.failed;
     }
 
-    fn fade(&mut self, by: f64) {
+    fn decay(&mut self, by: f64) {
         self.served *= by;
         self.relative *= by;
         self.failed *= by;
@@ -72,7 +72,7 @@
 
 /// Estimates for all endpoints.
 #[derive(Debug, Default)]
-pub struct Paces {
+pub struct EndpointPaces {
     endpoints: IndexMap<EndpointTag, (Answers, Mono)>,
     /// What the leader told of endpoints, and when.
     told: IndexMap<EndpointTag, (EndpointPace, Mono)>,
@@ -85,20 +85,20 @@
 /// Difference from an average endpoint below which nothing is told.
 const WORTH_TELLING: f64 = 0.05;
 
-impl Paces {
+impl EndpointPaces {
     /// Takes answers of an endpoint.
     pub fn add(&mut self, now: Mono, tag: EndpointTag, answers: &Answers) {
         let (sum, at) = self
             .endpoints
             .entry(tag)
             .or_insert((Answers::default(), now));
-        sum.fade(fading(now, *at));
+        sum.decay(fading(now, *at));
         sum.add(answers);
         *at = now;
     }
 
     /// Takes the leader's estimate, which rests on the answers that all instances got.
-    pub fn told(&mut self, now: Mono, pace: EndpointPace) {
+    pub fn set_leader_estimate(&mut self, now: Mono, pace: EndpointPace) {
         self.told.insert(pace.tag, (pace, now));
     }
 
@@ -130,7 +130,7 @@
     /// Estimates that differ from those of an average endpoint: a part of them, another one
     /// in each of `parts` turns.
     #[must_use]
-    pub fn worth_telling(&self, now: Mono, turn: u64, parts: u64) -> Vec<EndpointPace> {
+    pub fn estimates_to_send(&self, now: Mono, turn: u64, parts: u64) -> Vec<EndpointPace> {
         let of_turn = |tag: &&EndpointTag| u64::from(tag.0) % parts == turn % parts;
         let paces = self
             .endpoints
--- a/crates/citronway-core/src/gateway/placement.rs
+++ b/crates/citronway-core/src/gateway/placement.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 
 use crate::gateway::assignment::{Assignment, most_ranges};
-use crate::gateway::keyload::{KeyLoads, Look};
+use crate::gateway::keyload::{KeyLoads, LoadWindow};
 use crate::gateway::leader::{Move, Span};
 use crate::ids::EndpointStart;
 
@@ -60,17 +60,17 @@
 
 /// An endpoint that can hold keys.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Place {
+pub struct PlacementEndpoint {
     /// Which endpoint.
     pub endpoint: EndpointStart,
     /// Requests a second it can do: slots over the time of work at its speed.
     pub capacity: f64,
     /// Keys may be given to it.
-    pub takes: bool,
+    pub accepts_keys: bool,
     /// Its keys must go elsewhere.
-    pub must_leave: bool,
+    pub must_drain: bool,
     /// More requests wait for it than it has slots.
-    pub queue: bool,
+    pub has_queue: bool,
 }
 
 /// Pieces for each endpoint, and in all, above which small ones go to the owner of the
@@ -85,18 +85,18 @@
 
 /// What the decision rests on.
 #[derive(Debug, Clone, Copy)]
-pub struct Scene<'a> {
+pub struct PlacementInput<'a> {
     /// The row as it stands.
     pub row: &'a Assignment,
     /// Load by key.
     pub load: &'a KeyLoads,
     /// All endpoints of the service.
-    pub places: &'a [Place],
+    pub endpoints: &'a [PlacementEndpoint],
 }
 
 /// Moves that should begin now, the most urgent first.
 #[must_use]
-pub fn propose(scene: &Scene<'_>) -> Vec<Move> {
+pub fn propose(scene: &PlacementInput<'_>) -> Vec<Move> {
     let mut plan = Plan::new(scene);
     plan.empty_leaving();
     plan.use_idle();
@@ -106,8 +106,8 @@
 }
 
 struct Plan<'a> {
-    scene: &'a Scene<'a>,
-    places: IndexMap<&'a EndpointStart, &'a Place>,
+    scene: &'a PlacementInput<'a>,
+    places: IndexMap<&'a EndpointStart, &'a PlacementEndpoint>,
     /// Load of each endpoint once all moves have ended.
     load: IndexMap<&'a EndpointStart, f64>,
     /// Requests that these loads were reckoned from.
@@ -129,7 +129,7 @@
     /// Who is to get them by this plan.
     to: Option<&'a EndpointStart>,
     /// The look that its load is by, also when it is cut.
-    look: Look,
+    look: LoadWindow,
     /// In requests a second.
     load: f64,
     /// Requests that it was reckoned from.
@@ -143,19 +143,19 @@
 }
 
 impl<'a> Plan<'a> {
-    fn new(scene: &'a Scene<'a>) -> Self {
-        let places: IndexMap<_, _> = scene.places.iter().map(|p| (&p.endpoint, p)).collect();
-        let mut load: IndexMap<_, _> = scene.places.iter().map(|p| (&p.endpoint, 0.0)).collect();
+    fn new(scene: &'a PlacementInput<'a>) -> Self {
+        let places: IndexMap<_, _> = scene.endpoints.iter().map(|p| (&p.endpoint, p)).collect();
+        let mut load: IndexMap<_, _> = scene.endpoints.iter().map(|p| (&p.endpoint, 0.0)).collect();
         let mut samples = IndexMap::<_, f64>::new();
         let mut held = IndexMap::<_, usize>::new();
         let mut pieces = Vec::with_capacity(scene.row.ranges.len());
         for range in &scene.row.ranges {
             let owner = &range.next.as_ref().unwrap_or(&range.holder).endpoint;
             let span = range.span();
-            let queued = places.get(owner).is_some_and(|place| place.queue);
-            let look = scene.load.look_at(span, queued);
-            let here = scene.load.by(look).of(span);
-            let seen = scene.load.by(look).samples(span);
+            let queued = places.get(owner).is_some_and(|place| place.has_queue);
+            let look = scene.load.window_for(span, queued);
+            let here = scene.load.rates(look).of(span);
+            let seen = scene.load.rates(look).samples(span);
             *load.entry(owner).or_default() += here;
             *samples.entry(owner).or_default() += seen;
             *held.entry(owner).or_default() += 1;
@@ -195,12 +195,12 @@
         moves
     }
 
-    fn place(&self, endpoint: &EndpointStart) -> Option<&'a Place> {
+    fn place(&self, endpoint: &EndpointStart) -> Option<&'a PlacementEndpoint> {
         self.places.get(endpoint).copied()
     }
 
     /// Share of an endpoint's capacity that is used, with `more` added.
-    fn usage(&self, place: &Place, more: f64) -> f64 {
+    fn usage(&self, place: &PlacementEndpoint, more: f64) -> f64 {
         let load = self.load.get(&place.endpoint).copied().unwrap_or_default();
         (load + more) / place.capacity.max(f64::MIN_POSITIVE)
     }
@@ -211,29 +211,29 @@
     /// Load: a hot range was halved from endpoint to endpoint, each of which then had
     /// many times what it can do; where all were full, keys went to and fro.
     fn fill_to(&self) -> f64 {
-        let usable = self.scene.places.iter().filter(|p| p.takes);
+        let usable = self.scene.endpoints.iter().filter(|p| p.accepts_keys);
         let capacity = usable.map(|p| p.capacity).sum::<f64>();
         let load = self.load.values().sum::<f64>();
         (load / capacity.max(f64::MIN_POSITIVE)).max(FILL_TO)
     }
 
     /// Share of an endpoint's capacity that is used at least, by what was sampled.
-    fn surely_used(&self, place: &Place) -> f64 {
+    fn surely_used(&self, place: &PlacementEndpoint) -> f64 {
         let samples = self.samples.get(&place.endpoint).copied();
         let samples = samples.unwrap_or_default();
         self.usage(place, 0.0) * (1.0 - DOUBT / samples.max(1.0).sqrt())
     }
 
-    fn emptiest(&self, more: f64) -> Option<&'a Place> {
+    fn emptiest(&self, more: f64) -> Option<&'a PlacementEndpoint> {
         let usable = self
             .scene
-            .places
+            .endpoints
             .iter()
-            .filter(|p| p.takes && !p.must_leave);
+            .filter(|p| p.accepts_keys && !p.must_drain);
         usable.min_by(|a, b| self.usage(a, more).total_cmp(&self.usage(b, more)))
     }
 
-    fn assign(&mut self, i: usize, to: &'a Place) {
+    fn assign(&mut self, i: usize, to: &'a PlacementEndpoint) {
         let piece = self.pieces[i];
         *self.load.entry(piece.owner_to_be()).or_default() -= piece.load;
         *self.load.entry(&to.endpoint).or_default() += piece.load;
@@ -257,7 +257,7 @@
             first: last + 1,
             ..piece.span
         };
-        let rates = self.scene.load.by(piece.look);
+        let rates = self.scene.load.rates(piece.look);
         let load = rates.of(before).min(piece.load);
         let samples = rates.samples(before).min(piece.samples);
         self.pieces[i].span = before;
@@ -280,7 +280,7 @@
             let piece = self.pieces[i];
             let stays = self
                 .place(piece.owner)
-                .is_some_and(|place| !place.must_leave);
+                .is_some_and(|place| !place.must_drain);
             if !stays {
                 self.cut_to_fit(i);
                 let load = self.pieces[i].load;
@@ -305,15 +305,15 @@
         if piece.span.last - piece.span.first < MIN_CUT || piece.load <= most {
             return;
         }
-        let (last, _) = self.scene.load.by(piece.look).prefix(piece.span, most);
+        let (last, _) = self.scene.load.rates(piece.look).prefix(piece.span, most);
         self.cut(i, last);
     }
 
     /// Gives work to endpoints that hold no keys.
     fn use_idle(&mut self) {
-        for place in self.scene.places {
+        for place in self.scene.endpoints {
             let idle = self.held.get(&place.endpoint).is_none_or(|held| *held == 0);
-            if !place.takes || place.must_leave || !idle {
+            if !place.accepts_keys || place.must_drain || !idle {
                 continue;
             }
             for giver in self.fullest_first() {
@@ -326,15 +326,15 @@
 
     /// Evens out while an endpoint has more than it can do.
     fn relieve(&mut self) {
-        let most = (self.scene.places.len() / ENDPOINTS_A_MOVE).max(MIN_IN_MOTION);
+        let most = (self.scene.endpoints.len() / ENDPOINTS_A_MOVE).max(MIN_IN_MOTION);
         for _ in self.in_motion..most {
             let Some(to) = self.emptiest(0.0) else { return };
             let givers = self.fullest_first();
-            let queues = givers.iter().any(|giver| giver.queue);
+            let queues = givers.iter().any(|giver| giver.has_queue);
             let full = givers
                 .iter()
                 .filter(|giver| self.surely_used(giver) > RELIEVE_ABOVE)
-                .filter(|giver| giver.queue || !queues);
+                .filter(|giver| giver.has_queue || !queues);
             let full: Vec<_> = full.copied().collect();
             if !full.iter().any(|giver| self.give(giver, to, WORTH_MOVING)) {
                 return;
@@ -344,9 +344,9 @@
 
     /// Number of pieces above which there are too many.
     fn many_pieces(&self) -> usize {
-        let wanted = self.scene.places.len() * PIECES_AN_ENDPOINT;
+        let wanted = self.scene.endpoints.len() * PIECES_AN_ENDPOINT;
         // A row that is full takes no cut, and hot ranges stay whole.
-        wanted.clamp(MIN_PIECES, most_ranges(self.scene.places.len()) / 8 * 7)
+        wanted.clamp(MIN_PIECES, most_ranges(self.scene.endpoints.len()) / 8 * 7)
     }
 
     /// Gives small pieces to their neighbours' owners while there are too many.
@@ -368,21 +368,21 @@
             };
             let small = load < to.capacity * MIN_GAIN;
             let fits = small || self.usage(to, load) < RELIEVE_ABOVE;
-            if to.takes && !to.must_leave && fits && to.endpoint != *self.pieces[i].owner {
+            if to.accepts_keys && !to.must_drain && fits && to.endpoint != *self.pieces[i].owner {
                 self.assign(i, to);
             }
         }
     }
 
-    fn fullest_first(&self) -> Vec<&'a Place> {
-        let places = self.scene.places.iter();
+    fn fullest_first(&self) -> Vec<&'a PlacementEndpoint> {
+        let places = self.scene.endpoints.iter();
         let mut used: Vec<_> = places.map(|p| (self.usage(p, 0.0), p)).collect();
         used.sort_by(|(a, _), (b, _)| b.total_cmp(a));
         used.into_iter().map(|(_, place)| place).collect()
     }
 
     /// Pieces of an endpoint that may be cut and given away.
-    fn movable(&self, from: &Place) -> Vec<usize> {
+    fn movable(&self, from: &PlacementEndpoint) -> Vec<usize> {
         (0..self.pieces.len())
             .filter(|i| !self.pieces[*i].moving)
             .filter(|i| *self.pieces[*i].owner_to_be() == from.endpoint)
@@ -391,11 +391,11 @@
 
     /// Cuts an endpoint's pieces around keys with more load than `most`, in requests a
     /// second.
-    fn set_apart(&mut self, from: &Place, most: f64) {
+    fn set_apart(&mut self, from: &PlacementEndpoint, most: f64) {
         let mut mine = self.movable(from);
         while let Some(i) = mine.pop() {
             let Piece { span, look, .. } = self.pieces[i];
-            let (key, load) = self.scene.load.by(look).heaviest(span);
+            let (key, load) = self.scene.load.rates(look).hottest(span);
             if span.first == span.last || load <= most {
                 continue;
             }
@@ -413,7 +413,7 @@
     /// Gives a part of what `from` has to `to`, the hottest that makes a difference;
     /// false if nothing does. `worth` is how much fuller `from` must be afterwards
     /// than `to` was made by it.
-    fn give(&mut self, from: &'a Place, to: &'a Place, worth: f64) -> bool {
+    fn give(&mut self, from: &'a PlacementEndpoint, to: &'a PlacementEndpoint, worth: f64) -> bool {
         if from.endpoint == to.endpoint {
             return false;
         }
@@ -431,7 +431,7 @@
         let only = mine.len() == 1;
         for i in mine {
             let piece = self.pieces[i];
-            let (last, moved) = self.scene.load.by(piece.look).prefix(piece.span, wanted);
+            let (last, moved) = self.scene.load.rates(piece.look).prefix(piece.span, wanted);
             let whole = last >= piece.span.last;
             if whole && only {
                 // All that the endpoint has: the load would only change places.
--- a/crates/citronway-core/src/gateway/registry.rs
+++ b/crates/citronway-core/src/gateway/registry.rs
@@ -48,7 +48,7 @@
 
 /// A listed endpoint and what is known of its entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Known {
+pub struct ListedEndpoint {
     /// The newest entry.
     pub listing: Listing,
     /// When this start was first seen.
@@ -74,7 +74,7 @@
 /// just lost the store.
 const DRAINING_USE_MS: u64 = 300;
 
-impl Known {
+impl ListedEndpoint {
     fn new(now: Mono, first_seen: Mono, listing: Listing) -> Self {
         Self {
             first_seen,
@@ -118,7 +118,7 @@
 
     /// Whether new work may be sent to it that another endpoint could do as well.
     #[must_use]
-    pub const fn takes_work(&self) -> bool {
+    pub const fn accepts_work(&self) -> bool {
         !self.listing.draining && self.evacuated.is_none()
     }
 
@@ -136,7 +136,7 @@
 
     /// Whether work may be sent to it for keys that only it holds.
     #[must_use]
-    pub fn takes_owned_work(&self, now: Mono) -> bool {
+    pub fn accepts_owned_work(&self, now: Mono) -> bool {
         let stays = self
             .draining_since
             .is_none_or(|since| now.since(since) < DRAINING_USE_MS);
@@ -150,7 +150,7 @@
 /// those that were overtaken.
 #[derive(Debug, Clone, Default)]
 pub struct Registry {
-    known: IndexMap<EndpointName, Known>,
+    known: IndexMap<EndpointName, ListedEndpoint>,
     /// When each start was seen for the first time, also of those no longer listed.
     first_seen: IndexMap<EndpointStart, Mono>,
     /// Services that the configuration names; none while no configuration is known.
@@ -175,7 +175,7 @@
         let first = *self.first_seen.entry(listing.start.clone()).or_insert(now);
         let Some(known) = self.known.get_mut(listing.start.name()) else {
             let name = listing.start.name().clone();
-            self.insert(name, Known::new(now, first, listing));
+            self.insert(name, ListedEndpoint::new(now, first, listing));
             return;
         };
         if known.listing.start == listing.start {
@@ -198,11 +198,11 @@
             return;
         }
         let name = listing.start.name().clone();
-        self.insert(name, Known::new(now, first, listing));
+        self.insert(name, ListedEndpoint::new(now, first, listing));
     }
 
     /// Puts a start in the place of whatever had its name.
-    fn insert(&mut self, name: EndpointName, mut known: Known) {
+    fn insert(&mut self, name: EndpointName, mut known: ListedEndpoint) {
         known.evacuated = self.evacuated.get(&known.listing.zone).copied();
         self.known.insert(name, known);
         self.shadow();
@@ -213,7 +213,7 @@
     ///
     /// Failure guarded against: endpoints of a zone that is taken back are cold, all instances
     /// take them for idle before their entries say so, and crash them.
-    pub fn evacuated(&mut self, now: Mono, zones: IndexMap<ZoneName, Mono>) {
+    pub fn set_evacuated(&mut self, now: Mono, zones: IndexMap<ZoneName, Mono>) {
         for known in self.known.values_mut() {
             let before = known.evacuated;
             known.evacuated = zones.get(&known.listing.zone).copied();
@@ -225,13 +225,13 @@
     }
 
     /// Takes the names of the services that the configuration in force has.
-    pub fn configured(&mut self, services: IndexSet<ServiceName>) {
+    pub fn set_services(&mut self, services: IndexSet<ServiceName>) {
         self.services = Some(services);
         self.shadow();
     }
 
     /// Drops an entry that names no endpoint to use.
-    pub fn withdraw(&mut self, name: &EndpointName) {
+    pub fn discard(&mut self, name: &EndpointName) {
         self.known.shift_remove(name);
         self.shadow();
     }
@@ -244,7 +244,7 @@
             StoreSight::Back(at) => Some(at.plus(LAPSE_GRACE_MS)).filter(|end| *end > now),
         };
         let Some(end) = grace_end else {
-            self.withdraw(name);
+            self.discard(name);
             return;
         };
         if let Some(known) = self.known.get_mut(name) {
@@ -258,7 +258,7 @@
     }
 
     /// Notes that the store answers again.
-    pub fn store_back(&mut self, now: Mono) {
+    pub fn store_regained(&mut self, now: Mono) {
         if self.store == StoreSight::Lost {
             self.store = StoreSight::Back(now);
         }
@@ -266,14 +266,14 @@
 
     /// Notes that the store answered others while it did not answer this instance: what
     /// is missing is gone.
-    pub fn store_went_on(&mut self) {
+    pub fn outage_was_local(&mut self) {
         self.store = StoreSight::Steady;
     }
 
     /// Whether entries have stayed missing, or put off, for long enough.
     #[must_use]
     pub fn has_expired(&self, now: Mono) -> bool {
-        let mut ends = self.known.values().filter_map(Known::next_end);
+        let mut ends = self.known.values().filter_map(ListedEndpoint::next_end);
         ends.any(|end| end <= now)
     }
 
@@ -292,7 +292,7 @@
         for known in self.known.values_mut() {
             if let Some((listing, _)) = known.earlier.take_if(|(_, at)| *at <= now) {
                 let evacuated = self.evacuated.get(&listing.zone).copied();
-                *known = Known::new(now, now, listing);
+                *known = ListedEndpoint::new(now, now, listing);
                 known.evacuated = evacuated;
             }
         }
@@ -304,7 +304,7 @@
 
     /// The start, if it is listed and no other one has its address.
     #[must_use]
-    pub fn get(&self, start: &EndpointStart) -> Option<&Known> {
+    pub fn get(&self, start: &EndpointStart) -> Option<&ListedEndpoint> {
         let known = self.known.get(start.name())?;
         (known.listing.start == *start && !known.shadowed).then_some(known)
     }
@@ -316,12 +316,15 @@
     }
 
     /// All listed endpoints whose address is their own.
-    pub fn iter(&self) -> impl Iterator<Item = &Known> {
+    pub fn iter(&self) -> impl Iterator<Item = &ListedEndpoint> {
         self.known.values().filter(|known| !known.shadowed)
     }
 
     /// Listed endpoints of a service.
-    pub fn of<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Known> {
+    pub fn of_service<'a>(
+        &'a self,
+        service: &'a ServiceName,
+    ) -> impl Iterator<Item = &'a ListedEndpoint> {
         self.iter()
             .filter(move |known| known.listing.service == *service)
     }
@@ -340,7 +343,7 @@
     }
 
     /// Whether a listed start is known to have begun after one that is not listed.
-    fn is_later(&self, other: &Known, start: &EndpointStart) -> bool {
+    fn is_later(&self, other: &ListedEndpoint, start: &EndpointStart) -> bool {
         match self.first_seen.get(start) {
             Some(first) => other.age() > (start.born_ms(), *first),
             None => start.born_ms().is_some() && other.listing.start.born_ms() > start.born_ms(),
@@ -369,13 +372,13 @@
     }
 
     /// Listed starts of configured services at an address.
-    fn at(&self, address: SocketAddr) -> impl Iterator<Item = &Known> {
+    fn at(&self, address: SocketAddr) -> impl Iterator<Item = &ListedEndpoint> {
         self.known
             .values()
             .filter(move |known| known.listing.address == address && self.is_configured(known))
     }
 
-    fn is_configured(&self, known: &Known) -> bool {
+    fn is_configured(&self, known: &ListedEndpoint) -> bool {
         let services = self.services.as_ref();
         services.is_none_or(|services| services.contains(&known.listing.service))
     }
--- a/crates/citronway-core/src/gateway/report.rs
+++ b/crates/citronway-core/src/gateway/report.rs
@@ -9,17 +9,17 @@
 use crate::ids::{InstanceName, ServiceName, Session, SessionId};
 
 /// Time between two looks at what there is to report, in milliseconds.
-pub const REPORT_MS: u64 = 100;
+pub const REPORT_INTERVAL_MS: u64 = 100;
 
 /// Instances up to which all tell all; with more, they report to a delegate of theirs.
 ///
 /// Load: among 295 instances that all told all each 0.6 s, one received 490 datagrams a
 /// second on a tenth of a core, and relayed rows came too late or not at all.
-pub const MOST_TELL_ALL: usize = 12;
+pub const MAX_FULL_MESH: usize = 12;
 
 /// The same for instances that are listed, while no leader tells how many there are: some
 /// of them are gone for good.
-pub const MOST_LISTED_TELL_ALL: usize = 2 * MOST_TELL_ALL;
+pub const MAX_LISTED_FULL_MESH: usize = 2 * MAX_FULL_MESH;
 
 /// Most keys that one report carries for a service; more are left out evenly.
 pub const MAX_KEYS: usize = 300;
@@ -77,8 +77,8 @@
 impl Report {
     /// What this one says was seen.
     #[must_use]
-    pub fn seen(self) -> Seen {
-        Seen {
+    pub fn into_observations(self) -> Observations {
+        Observations {
             endpoints: self.endpoints,
             keys: self.keys,
         }
@@ -198,14 +198,14 @@
 
 /// What was seen in several looks, to be reported at once.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Seen {
+pub struct Observations {
     /// Use of each endpoint: the last look's, and all its answers.
     pub endpoints: Vec<EndpointUse>,
     /// Keys that were asked for.
     pub keys: Vec<KeySamples>,
 }
 
-impl Seen {
+impl Observations {
     /// Adds a later look.
     pub fn add(&mut self, later: Self) {
         let mut before = std::mem::take(&mut self.endpoints);
--- a/crates/citronway-core/src/gateway/routes.rs
+++ b/crates/citronway-core/src/gateway/routes.rs
@@ -37,7 +37,7 @@
 
 /// A configuration that can be put in force, and what of it cannot be used.
 #[derive(Debug)]
-pub struct Checked {
+pub struct CheckedRoutes {
     /// Everything that is known to be meant.
     pub routes: RouteTable,
     /// What was left out or is answered with a refusal, with the place.
@@ -89,7 +89,7 @@
 impl Repeat {
     /// Word for logs and metrics.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
             Self::AtMostOnce => "non_idempotent",
@@ -142,7 +142,7 @@
     /// configuration out, and nobody is served on any route. A route in doubt refuses
     /// its own requests, which tells callers that they have not run; all others hold.
     #[must_use]
-    pub fn check(version: Version, limits: CallerLimits, draft: Draft) -> Checked {
+    pub fn check(version: Version, limits: CallerLimits, draft: Draft) -> CheckedRoutes {
         let Draft {
             mut routes,
             services,
@@ -175,7 +175,7 @@
             incomplete,
             by_host,
         };
-        Checked { routes, findings }
+        CheckedRoutes { routes, findings }
     }
 
     /// Whether a request that matches no route may belong to one that was left out.
--- a/crates/citronway-core/src/gateway/rows.rs
+++ b/crates/citronway-core/src/gateway/rows.rs
@@ -19,7 +19,7 @@
 
     /// Word for logs.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Config => "config",
             Self::Endpoints => "endpoints",
--- a/crates/citronway-core/src/gateway/settings.rs
+++ b/crates/citronway-core/src/gateway/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::gateway::budget::SharedLimit;
+use crate::gateway::budget::RetryLimit;
 use crate::gateway::election::Strength;
 use crate::ids::{InstanceName, ZoneName};
 
@@ -24,7 +24,7 @@
     /// The platform's store.
     pub store: SocketAddr,
     /// Limit on second sends that all instances share.
-    pub second_sends: SharedLimit,
+    pub retries: RetryLimit,
     /// Time from the signal to stop to the end of the process, in milliseconds.
     pub grace_ms: u64,
     /// Longest hold that an endpoint accepts, in milliseconds.
--- a/crates/citronway-core/src/gateway/share.rs
+++ b/crates/citronway-core/src/gateway/share.rs
@@ -12,7 +12,7 @@
 
 /// Places of an endpoint with `slots` slots: those and a short queue.
 #[must_use]
-pub fn places(slots: u32) -> u32 {
+pub fn in_flight_limit(slots: u32) -> u32 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -37,7 +37,7 @@
 /// is given by `chance`, a number from 0 to 1 that each instance draws for itself and now
 /// and then anew: on average all parts together are what is free, and everybody gets a turn.
 #[must_use]
-pub fn part_of_free(places: u32, in_flight: u32, mine: u32, all: u32, chance: f64) -> u32 {
+pub fn share_of_free(places: u32, in_flight: u32, mine: u32, all: u32, chance: f64) -> u32 {
     let free = places.saturating_sub(in_flight);
     if all <= free {
         return free;
@@ -59,7 +59,7 @@
 /// fractions, ties by rank. All that see the same demands come to shares whose sum
 /// is `places`.
 #[must_use]
-pub fn allowed(places: u32, me: Demand, others: &[Demand]) -> u32 {
+pub fn fair_share(places: u32, me: Demand, others: &[Demand]) -> u32 {
     let total = others.iter().map(|d| u64::from(d.wanted)).sum::<u64>() + u64::from(me.wanted);
     if total <= u64::from(places) {
         return places - u32::try_from(total - u64::from(me.wanted)).unwrap_or(places);
--- a/crates/citronway-core/src/gateway/tree/mod.rs
+++ b/crates/citronway-core/src/gateway/tree/mod.rs
@@ -20,11 +20,11 @@
 use crate::ids::{InstanceName, ZoneName};
 use crate::time::Mono;
 
-pub use place::{Place, Role};
-pub use report::Gathered;
+pub use place::{Role, TreePosition};
+pub use report::GatheredReports;
 
 /// Time between two of the leader's sums, in milliseconds.
-pub const TELL_MS: u64 = 200;
+pub const TOTALS_INTERVAL_MS: u64 = 200;
 
 /// Silence after which a delegate is replaced, in milliseconds: four of its reports.
 ///
@@ -62,7 +62,7 @@
     /// How much of a leader's work its machine could do.
     pub strength: Strength,
     /// It goes on working.
-    pub stays: bool,
+    pub is_staying: bool,
 }
 
 /// To whom the leader sends its sums, and who passes them on to whom.
@@ -101,7 +101,7 @@
 
 impl Tree {
     /// Forgets all groups, as a new leader does.
-    pub fn begin(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 
@@ -154,7 +154,7 @@
         let works = |name: &InstanceName, since: Mono| {
             by_name.get(name).is_some_and(|one| {
                 let heard = one.heard_directly.max(Some(since));
-                one.stays && is_within(now, heard, DELEGATE_SILENT_MS)
+                one.is_staying && is_within(now, heard, DELEGATE_SILENT_MS)
             })
         };
         for group in &mut self.groups {
@@ -162,7 +162,7 @@
                 continue;
             }
             let able = group.members.iter().filter_map(|name| by_name.get(name));
-            let able = able.filter(|one| one.stays);
+            let able = able.filter(|one| one.is_staying);
             let next = able.max_by_key(|one| (one.strength, one.heard, Reverse(one.instance)));
             let Some(next) = next.map(|one| one.instance.clone()) else {
                 continue;
@@ -198,7 +198,13 @@
             |one: &&Candidate<'_>| is_heard(one.instance) && !housed.contains(one.instance);
         let mut homeless: Vec<_> = all.iter().filter(homeless).collect();
         // The strongest first: those that open a group are its delegates.
-        homeless.sort_by_key(|one| (one.zone, Reverse((one.stays, one.strength)), one.instance));
+        homeless.sort_by_key(|one| {
+            (
+                one.zone,
+                Reverse((one.is_staying, one.strength)),
+                one.instance,
+            )
+        });
         let mut zones = IndexMap::<&ZoneName, usize>::new();
         for one in &homeless {
             *zones.entry(one.zone).or_default() += 1;
@@ -226,7 +232,7 @@
             });
             let least = room.min_by_key(|group| group.members.len());
             match least {
-                Some(group) if there >= wanted || !one.stays => {
+                Some(group) if there >= wanted || !one.is_staying => {
                     group.members.push(one.instance.clone());
                 }
                 _ => self.groups.push(Group {
--- a/crates/citronway-core/src/gateway/tree/place.rs
+++ b/crates/citronway-core/src/gateway/tree/place.rs
@@ -25,7 +25,7 @@
 
 /// Where an instance stands in the tree.
 #[derive(Debug, Default)]
-pub struct Place {
+pub struct TreePosition {
     parent: Option<(SocketAddr, Mono)>,
     /// Since when it is this one.
     since: Mono,
@@ -34,9 +34,9 @@
     newest: (u64, u64),
 }
 
-impl Place {
+impl TreePosition {
     /// Takes sums that came from an address; false if they are known or an earlier leader's.
-    pub fn told(&mut self, now: Mono, totals: &Totals, from: SocketAddr) -> bool {
+    pub fn accept_totals(&mut self, now: Mono, totals: &Totals, from: SocketAddr) -> bool {
         let at = (totals.term, totals.number);
         // The same ones may come from the leader too, which then calls this instance: who
         // names members, or comes first, is the parent.
@@ -79,7 +79,7 @@
 
     /// Whether something from this address is passed on: it is the leader that named them.
     #[must_use]
-    pub fn passes_on(&self, from: SocketAddr) -> bool {
+    pub fn forwards_from(&self, from: SocketAddr) -> bool {
         let is_parent = self.parent.is_some_and(|(address, _)| address == from);
         is_parent && !self.members.is_empty()
     }
--- a/crates/citronway-core/src/gateway/tree/report.rs
+++ b/crates/citronway-core/src/gateway/tree/report.rs
@@ -3,19 +3,19 @@
 use indexmap::IndexMap;
 
 use crate::gateway::pace::EndpointTag;
-use crate::gateway::report::{EndpointUse, KeySamples, Seen};
+use crate::gateway::report::{EndpointUse, KeySamples, Observations};
 use crate::ids::ServiceName;
 
 /// Answers of endpoints and keys asked for, of several reports.
 #[derive(Debug, Default)]
-pub struct Gathered {
+pub struct GatheredReports {
     endpoints: IndexMap<EndpointTag, EndpointUse>,
     keys: IndexMap<ServiceName, Vec<u16>>,
 }
 
-impl Gathered {
+impl GatheredReports {
     /// Takes a report; of what it has in flight only the newest counts, see
-    /// [`Gathered::with`].
+    /// [`GatheredReports::take_with`].
     pub fn add(&mut self, endpoints: &[EndpointUse], keys: &[KeySamples]) {
         for used in endpoints {
             let sum = self.entry(used.tag);
@@ -29,11 +29,11 @@
 
     /// All of it, with what this instance saw and what all have in flight at present;
     /// nothing is left.
-    pub fn with(
+    pub fn take_with(
         &mut self,
-        own: &Seen,
+        own: &Observations,
         in_flight: impl Iterator<Item = (EndpointTag, u32, u32)>,
-    ) -> Seen {
+    ) -> Observations {
         self.add(&own.endpoints, &own.keys);
         for used in &own.endpoints {
             let sum = self.entry(used.tag);
@@ -47,7 +47,7 @@
         }
         let Self { endpoints, keys } = std::mem::take(self);
         let samples = keys.into_iter();
-        Seen {
+        Observations {
             endpoints: endpoints.into_values().collect(),
             keys: samples
                 .map(|(service, keys)| KeySamples { service, keys })
--- a/crates/citronway-core/tests/gateway_admission.rs
+++ b/crates/citronway-core/tests/gateway_admission.rs
@@ -5,7 +5,7 @@
 use admission_support::{Scene, job, keyed};
 use citronway_core::gateway::admission::{Admission, Decision, Job, RefusalReason, Standing};
 use citronway_core::gateway::pace::EndpointTag;
-use citronway_core::gateway::share::{Demand, places};
+use citronway_core::gateway::share::{Demand, in_flight_limit};
 use citronway_core::ids::{EndpointStart, ZoneName};
 use citronway_core::time::Mono;
 use googletest::prelude::*;
@@ -85,7 +85,7 @@
         .iter()
         .filter(|v| matches!(v, Some(Decision::Send(_))));
     let sent = sends.count();
-    expect_that!(sent, eq(places(6) as usize));
+    expect_that!(sent, eq(in_flight_limit(6) as usize));
 }
 
 /// Another instance has as much to send to the endpoint as this one. Each takes half,
@@ -241,7 +241,7 @@
 fn a_request_that_waits_is_refused_before_its_instance_ends() {
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
-    for ticket in 0..u64::from(places(6)) {
+    for ticket in 0..u64::from(in_flight_limit(6)) {
         admission.arrive(NOW, &scene.view(), keyed(ticket, 0, NOW));
     }
     let waits = admission.arrive(NOW, &scene.view(), keyed(90, 0, NOW));
--- a/crates/citronway-core/tests/gateway_cold.rs
+++ b/crates/citronway-core/tests/gateway_cold.rs
@@ -4,7 +4,9 @@
 #[expect(dead_code, reason = "shared with the tests of the leader")]
 mod random;
 
-use citronway_core::gateway::cold::{self, ColdGrant, ColdRequest, ColdSends, Office};
+use citronway_core::gateway::cold::{
+    self, ColdGrant, ColdRequest, ColdSendLimiter, LeaderStanding,
+};
 use citronway_core::gateway::leader::{LeaderSettings, Rivals};
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::time::Mono;
@@ -27,20 +29,20 @@
 const CONFIRMED: Mono = Mono(1_000_000);
 
 /// A leader that knows of no other.
-fn alone() -> Office {
-    Office {
-        contact: CONFIRMED,
+fn alone() -> LeaderStanding {
+    LeaderStanding {
+        confirmed_at: CONFIRMED,
         rivals: Rivals::default(),
-        earlier: 0,
+        earlier_leaders: 0,
     }
 }
 
 struct Fleet {
     instances: u64,
     random: Random,
-    leaders: Vec<ColdSends>,
+    leaders: Vec<ColdSendLimiter>,
     /// What each leader knows of the others.
-    offices: Vec<Office>,
+    offices: Vec<LeaderStanding>,
     /// Instances that are cut off with the first leader.
     cut_off: usize,
     /// Which leader each instance asks.
@@ -56,7 +58,7 @@
         Self {
             instances,
             random: Random::new(seed),
-            leaders: vec![ColdSends::default()],
+            leaders: vec![ColdSendLimiter::default()],
             offices: vec![alone()],
             cut_off: 0,
             asks: vec![0; count],
@@ -67,28 +69,28 @@
 
     /// Another leader takes office; instances hear of it one after the other.
     fn change_leader(&mut self, now: Mono) {
-        self.leaders.push(ColdSends::of_new_leader(now));
+        self.leaders.push(ColdSendLimiter::for_new_leader(now));
         self.offices.push(alone());
     }
 
     /// The store confirms the first leader no more; half of the instances stay with it.
     fn lose_first_leader(&mut self, now: Mono) {
-        self.offices[0].contact = now;
+        self.offices[0].confirmed_at = now;
         self.cut_off = self.asks.len() / 2;
     }
 
     /// Another leader takes office, which does not know whether those before it have stopped.
     fn add_rival(&mut self, now: Mono, contact: Mono) {
-        let office = Office {
-            contact,
+        let office = LeaderStanding {
+            confirmed_at: contact,
             rivals: LeaderSettings::default().rivals(now),
-            earlier: u32::try_from(self.leaders.len()).unwrap(),
+            earlier_leaders: u32::try_from(self.leaders.len()).unwrap(),
         };
-        self.leaders.push(ColdSends::of_new_leader(now));
+        self.leaders.push(ColdSendLimiter::for_new_leader(now));
         self.offices.push(office);
     }
 
-    fn step(&mut self, now: Mono, patience_ms: u64, demand: u64) {
+    fn step(&mut self, now: Mono, max_wait_ms: u64, demand: u64) {
         let newest = self.leaders.len() - 1;
         for i in 0..self.asks.len() {
             if i >= self.cut_off && self.asks[i] < newest && self.random.chance(100) {
@@ -103,12 +105,12 @@
             let req = ColdRequest {
                 endpoint: ENDPOINT,
                 per_s: PER_S * OVERAGE,
-                patience_ms,
+                max_wait_ms,
             };
             let leader = self.asks[i];
             let cfg = LeaderSettings::default();
-            let part = cold::granted_part(now, &cfg, &self.offices[leader]);
-            match self.leaders[leader].request_of(now, &req, part) {
+            let part = cold::granted_share(now, &cfg, &self.offices[leader]);
+            match self.leaders[leader].request_with_share(now, &req, part) {
                 ColdGrant::Granted { after_ms } => {
                     let late_ms = self.random.below(ON_THE_WAY_MS);
                     self.sent.push(now.0 + after_ms + late_ms);
@@ -144,10 +146,10 @@
 #[gtest]
 fn all_instances_together_keep_the_bound() {
     for instances in [3, 90, 300] {
-        for patience_ms in [0, 150] {
+        for max_wait_ms in [0, 150] {
             let mut fleet = Fleet::new(instances, instances);
             for ms in 0..LENGTH_MS {
-                fleet.step(Mono(1 + ms), patience_ms, 1);
+                fleet.step(Mono(1 + ms), max_wait_ms, 1);
             }
             let most = fleet.most_in_a_window();
             expect_that!(most, le(allowed()), "{instances} instances");
@@ -200,31 +202,31 @@
 fn a_successor_grants_all_once_earlier_leaders_have_ended() {
     let cfg = LeaderSettings::default();
     let replaced = Mono(50_000);
-    let office = Office {
-        contact: CONFIRMED,
+    let office = LeaderStanding {
+        confirmed_at: CONFIRMED,
         rivals: cfg.rivals(replaced),
-        earlier: 1,
+        earlier_leaders: 1,
     };
-    let part = |ms| cold::granted_part(replaced.plus(ms), &cfg, &office);
+    let part = |ms| cold::granted_share(replaced.plus(ms), &cfg, &office);
     expect_that!(part(0), none());
     expect_that!(part(cfg.connect_limit_ms + 100), some(eq(0.5)));
     expect_that!(part(cfg.rival_wait_ms()), some(eq(1.0)));
-    let stopped = Office {
+    let stopped = LeaderStanding {
         rivals: office.rivals.min(cfg.stopped_rivals(replaced)),
         ..office
     };
     let soon = replaced.plus(cfg.order_timeout_ms + 100);
-    expect_that!(cold::granted_part(soon, &cfg, &stopped), some(eq(0.5)));
+    expect_that!(cold::granted_share(soon, &cfg, &stopped), some(eq(0.5)));
 }
 
 /// Guards against requests that wait for a turn longer than they said.
 #[gtest]
 fn a_turn_that_comes_too_late_is_refused_with_its_time() {
-    let mut sends = ColdSends::default();
+    let mut sends = ColdSendLimiter::default();
     let req = ColdRequest {
         endpoint: ENDPOINT,
         per_s: 5.0,
-        patience_ms: 100,
+        max_wait_ms: 100,
     };
     let now = Mono(10_000);
     let first = ColdGrant::Granted { after_ms: 0 };
@@ -247,11 +249,11 @@
 /// Guards against a service that takes nothing while it is cold.
 #[gtest]
 fn a_service_that_states_nothing_a_second_gets_nothing() {
-    let mut sends = ColdSends::default();
+    let mut sends = ColdSendLimiter::default();
     let req = ColdRequest {
         endpoint: ENDPOINT,
         per_s: 0.0,
-        patience_ms: 100,
+        max_wait_ms: 100,
     };
     let grant = sends.request(Mono(10_000), &req);
     expect_that!(matches!(grant, ColdGrant::Busy { .. }), is_true());
--- a/crates/citronway-core/tests/gateway_election.rs
+++ b/crates/citronway-core/tests/gateway_election.rs
@@ -1,8 +1,9 @@
 //! Who becomes the leader, and whose holds it has to wait for.
 
 use citronway_core::gateway::election::{
-    CLAIM_STEP_MS, FIRST_STEPS, Former, LeaderRow, PeerSight, SETTLE_MS, SILENCE_MS, Situation,
-    Strength, TAKE_UP_MS, former_after, has_stopped, holds_until, should_claim, watches,
+    CLAIM_STEP_MS, ElectionView, FIRST_CLAIM_STEPS, FormerLeader, LEADER_SILENT_MS, LeaderRow,
+    PeerState, STARTUP_GRACE_MS, Strength, TAKEOVER_GRACE_MS, former_holds_until,
+    former_leaders_after, has_stopped, should_claim, watches_store,
 };
 use citronway_core::gateway::leader::LeaderSettings;
 use citronway_core::ids::{InstanceName, Session, SessionId, Version};
@@ -11,8 +12,8 @@
 
 const START: Mono = Mono(10_000);
 
-fn sight(name: &str, heard: Mono) -> PeerSight {
-    PeerSight {
+fn sight(name: &str, heard: Mono) -> PeerState {
+    PeerState {
         instance: InstanceName::new(name),
         session: SessionId(1),
         heard,
@@ -37,9 +38,9 @@
 fn situation<'a>(
     me: &'a InstanceName,
     row: Option<&'a LeaderRow>,
-    peers: &'a [PeerSight],
-) -> Situation<'a> {
-    Situation {
+    peers: &'a [PeerState],
+) -> ElectionView<'a> {
+    ElectionView {
         me,
         session: SessionId(1),
         started: START,
@@ -51,25 +52,25 @@
         peers,
         standbys: &[],
         instances: 3,
-        many: false,
+        is_large_fleet: false,
     }
 }
 
-fn claims(now: Mono, me: &str, row: Option<&LeaderRow>, peers: &[PeerSight]) -> bool {
+fn claims(now: Mono, me: &str, row: Option<&LeaderRow>, peers: &[PeerState]) -> bool {
     should_claim(now, &situation(&InstanceName::new(me), row, peers))
 }
 
 #[gtest]
 fn a_leader_that_is_heard_is_left_alone() {
     let now = START.plus(60_000);
-    let peers = [sight("a", now.minus(SILENCE_MS - 1))];
+    let peers = [sight("a", now.minus(LEADER_SILENT_MS - 1))];
     expect_that!(claims(now, "b", Some(&row("a")), &peers), eq(false));
 }
 
 #[gtest]
 fn a_silent_leader_is_replaced_by_one_after_the_other() {
     let heard = START.plus(60_000);
-    let silent = heard.plus(SILENCE_MS);
+    let silent = heard.plus(LEADER_SILENT_MS);
     let peers = [sight("a", heard), sight("b", silent)];
     let row = row("a");
     expect_that!(claims(silent, "b", Some(&row), &peers[..1]), eq(true));
@@ -87,11 +88,11 @@
     let row = row("a");
     expect_that!(claims(START, "b", Some(&row), &[]), eq(false));
     expect_that!(
-        claims(START.plus(SETTLE_MS), "b", Some(&row), &[]),
+        claims(START.plus(STARTUP_GRACE_MS), "b", Some(&row), &[]),
         eq(true)
     );
     // A duty that nobody ever had is claimed within a few steps by each.
-    let last = START.plus((FIRST_STEPS - 1) * CLAIM_STEP_MS);
+    let last = START.plus((FIRST_CLAIM_STEPS - 1) * CLAIM_STEP_MS);
     for me in ["a", "b", "c", "d"] {
         expect_that!(claims(last, me, None, &[]), eq(true));
     }
@@ -130,7 +131,7 @@
     let seen = |row_seen| {
         let row = row("a");
         let me = InstanceName::new("b");
-        let situation = Situation {
+        let situation = ElectionView {
             me: &me,
             session: SessionId(1),
             started: START,
@@ -142,17 +143,17 @@
             peers: &peers,
             standbys: &[],
             instances: 3,
-            many: false,
+            is_large_fleet: false,
         };
         should_claim(now, &situation)
     };
     expect_that!(seen(now.minus(10)), eq(false));
-    expect_that!(seen(now.minus(TAKE_UP_MS)), eq(true));
+    expect_that!(seen(now.minus(TAKEOVER_GRACE_MS)), eq(true));
 }
 
 #[gtest]
 fn an_instance_that_is_unfit_does_not_claim() {
-    let situation = Situation {
+    let situation = ElectionView {
         me: &InstanceName::new("b"),
         session: SessionId(1),
         started: START,
@@ -164,13 +165,13 @@
         peers: &[],
         standbys: &[],
         instances: 3,
-        many: false,
+        is_large_fleet: false,
     };
     expect_that!(should_claim(START.plus(60_000), &situation), eq(false));
 }
 
-fn former(name: &str, free_at_ms: u64) -> Former {
-    Former {
+fn former(name: &str, free_at_ms: u64) -> FormerLeader {
+    FormerLeader {
         session: Session::new(name, 1),
         free_at_ms,
     }
@@ -183,7 +184,7 @@
     let mut second = row("b");
     second.former = vec![former("a", 17_000)];
     let now = START.plus(60_000);
-    let after = |peers: &[PeerSight]| former_after(Some(&second), peers, 5_000, 17_000);
+    let after = |peers: &[PeerState]| former_leaders_after(Some(&second), peers, 5_000, 17_000);
     // `a` does not know of `b` yet.
     let mut behind = sight("a", now);
     behind.term = 2;
@@ -206,7 +207,7 @@
 fn an_earlier_leader_that_is_never_heard_again_is_waited_for_once() {
     let mut second = row("b");
     second.former = vec![former("a", 17_000)];
-    let after = |store_ms| former_after(Some(&second), &[], store_ms, 17_000);
+    let after = |store_ms| former_leaders_after(Some(&second), &[], store_ms, 17_000);
     expect_that!(
         after(16_999),
         eq(&[former("a", 17_000), former("b", 33_999)])
@@ -222,12 +223,12 @@
     let former = [former("first", store_ms + cfg.rival_wait_ms())];
     for late_ms in [0, 400, 3_000, 6_000] {
         let now = claimed.plus(late_ms);
-        let until = holds_until(now, &cfg, &former, Some(store_ms + late_ms), claimed);
+        let until = former_holds_until(now, &cfg, &former, Some(store_ms + late_ms), claimed);
         // The store may have confirmed it until this moment.
         expect_that!(until, ge(now.plus(cfg.rival_wait_ms())), "{late_ms} ms");
         expect_that!(until, le(cfg.rivals(now).hold_until), "{late_ms} ms");
     }
-    let ended = holds_until(claimed, &cfg, &[], Some(store_ms), claimed);
+    let ended = former_holds_until(claimed, &cfg, &[], Some(store_ms), claimed);
     expect_that!(ended, eq(cfg.end_of_hold(claimed)));
 }
 
@@ -241,9 +242,9 @@
     let heard = START.plus(60_000);
     let row = row("a");
     let claims_when = |strength, other: Strength, after_ms| {
-        let mut other_sight = sight("c", heard.plus(SILENCE_MS));
+        let mut other_sight = sight("c", heard.plus(LEADER_SILENT_MS));
         other_sight.strength = other;
-        let situation = Situation {
+        let situation = ElectionView {
             me: &InstanceName::new("b"),
             session: SessionId(1),
             started: START,
@@ -255,9 +256,9 @@
             peers: &[sight("a", heard), other_sight],
             standbys: &[],
             instances: 3,
-            many: false,
+            is_large_fleet: false,
         };
-        should_claim(heard.plus(SILENCE_MS + after_ms), &situation)
+        should_claim(heard.plus(LEADER_SILENT_MS + after_ms), &situation)
     };
     expect_that!(claims_when(weak, Strength::FULL, 0), eq(false));
     expect_that!(claims_when(weak, Strength::FULL, CLAIM_STEP_MS), eq(true));
@@ -271,10 +272,10 @@
 fn three_instances_watch_the_store_while_nobody_tells_of_it() {
     let now = START.plus(60_000);
     let mut peers = ["b", "c", "d", "e"].map(|name| sight(name, now));
-    let watching = |me: &str, peers: &[PeerSight]| {
+    let watching = |me: &str, peers: &[PeerState]| {
         let me = InstanceName::new(me);
         let others: Vec<_> = peers.iter().filter(|p| p.instance != me).cloned().collect();
-        watches(now, &situation(&me, None, &others))
+        watches_store(now, &situation(&me, None, &others))
     };
     expect_that!(
         ["b", "c", "d", "e"].map(|me| watching(me, &peers)),
@@ -290,7 +291,7 @@
 #[gtest]
 fn in_a_large_fleet_those_that_the_leader_named_claim_first_and_few_at_once() {
     let heard = START.plus(60_000);
-    let silent = heard.plus(SILENCE_MS);
+    let silent = heard.plus(LEADER_SILENT_MS);
     let row = row("front-0");
     let names: Vec<_> = (0..295)
         .map(|i| InstanceName::new(&format!("front-{i}")))
@@ -298,11 +299,11 @@
     let standbys = names[1..9].to_vec();
     let peers = [sight("front-0", heard)];
     let claims_at = |me: &InstanceName, now: Mono| {
-        let situation = Situation {
+        let situation = ElectionView {
             strength: Strength(200),
             standbys: &standbys,
             instances: 295,
-            many: true,
+            is_large_fleet: true,
             ..situation(me, Some(&row), &peers)
         };
         should_claim(now, &situation)
@@ -326,12 +327,15 @@
     let mut row = row("front-7");
     row.session = SessionId(9);
     let me = InstanceName::new("front-7");
-    let situation = Situation {
+    let situation = ElectionView {
         row_seen: START,
         instances: 295,
-        many: true,
+        is_large_fleet: true,
         ..situation(&me, Some(&row), &[])
     };
     expect_that!(should_claim(START, &situation), eq(false));
-    expect_that!(should_claim(START.plus(TAKE_UP_MS), &situation), eq(true));
+    expect_that!(
+        should_claim(START.plus(TAKEOVER_GRACE_MS), &situation),
+        eq(true)
+    );
 }
--- a/crates/citronway-core/tests/gateway_evacuation.rs
+++ b/crates/citronway-core/tests/gateway_evacuation.rs
@@ -5,7 +5,7 @@
 use admission_support::{Scene, job, keyed};
 use citronway_core::gateway::admission::{Decision, RefusalReason};
 use citronway_core::gateway::evacuation::{Evacuations, ZoneState, owned_work_until};
-use citronway_core::gateway::registry::{Known, Listing, Registry};
+use citronway_core::gateway::registry::{ListedEndpoint, Listing, Registry};
 use citronway_core::ids::{EndpointStart, ServiceName, Version, ZoneName};
 use citronway_core::time::Mono;
 use googletest::prelude::*;
@@ -37,18 +37,18 @@
     let mut zones = Evacuations::default();
     let a = zone("a");
     expect_that!(
-        zones.row_seen(&a, Version(5), evacuated_at(NOW)),
+        zones.apply_row(&a, Version(5), evacuated_at(NOW)),
         some(anything())
     );
     expect_that!(
-        zones.row_seen(&a, Version(9), ZoneState::TakenBack),
+        zones.apply_row(&a, Version(9), ZoneState::Restored),
         some(anything())
     );
-    expect_that!(zones.row_seen(&a, Version(5), evacuated_at(NOW)), none());
+    expect_that!(zones.apply_row(&a, Version(5), evacuated_at(NOW)), none());
     expect_that!(names(&zones), is_empty());
     // Evacuated again while it is being taken back.
     expect_that!(
-        zones.row_seen(&a, Version(10), evacuated_at(NOW)),
+        zones.apply_row(&a, Version(10), evacuated_at(NOW)),
         some(anything())
     );
     expect_that!(names(&zones), elements_are![eq("a")]);
@@ -58,8 +58,8 @@
 #[gtest]
 fn a_row_that_is_written_again_begins_no_new_time() {
     let mut zones = Evacuations::default();
-    zones.row_seen(&zone("a"), Version(5), evacuated_at(NOW));
-    let again = zones.row_seen(&zone("a"), Version(6), evacuated_at(NOW.plus(4_000)));
+    zones.apply_row(&zone("a"), Version(5), evacuated_at(NOW));
+    let again = zones.apply_row(&zone("a"), Version(6), evacuated_at(NOW.plus(4_000)));
     expect_that!(again, none());
     let since: Vec<_> = zones.evacuated().map(|(_, since)| since).collect();
     expect_that!(since, elements_are![eq(&Some(NOW))]);
@@ -69,15 +69,15 @@
 #[gtest]
 fn a_zone_that_is_no_longer_listed_is_taken_back() {
     let mut zones = Evacuations::default();
-    zones.row_seen(&zone("a"), Version(5), evacuated_at(NOW));
-    zones.row_seen(&zone("b"), Version(7), evacuated_at(NOW));
+    zones.apply_row(&zone("a"), Version(5), evacuated_at(NOW));
+    zones.apply_row(&zone("b"), Version(7), evacuated_at(NOW));
     let listed = IndexSet::from([zone("b")]);
-    let changes = zones.listed(&listed, Version(9));
+    let changes = zones.apply_listing(&listed, Version(9));
     expect_that!(changes, len(eq(1)));
     expect_that!(names(&zones), elements_are![eq("b")]);
     // Rows as they were before this one was written say nothing of it.
-    zones.row_seen(&zone("c"), Version(12), evacuated_at(NOW));
-    expect_that!(zones.listed(&listed, Version(11)), is_empty());
+    zones.apply_row(&zone("c"), Version(12), evacuated_at(NOW));
+    expect_that!(zones.apply_listing(&listed, Version(11)), is_empty());
     expect_that!(names(&zones), elements_are![eq("b"), eq("c")]);
 }
 
@@ -93,7 +93,7 @@
     let zones = zones.iter().map(|name| (zone(name), until));
     scene
         .registry()
-        .evacuated(NOW, zones.collect::<IndexMap<_, _>>());
+        .set_evacuated(NOW, zones.collect::<IndexMap<_, _>>());
 }
 
 fn shown(decision: Option<&Decision>) -> String {
@@ -164,16 +164,16 @@
 fn endpoints_that_enter_the_zone_get_nothing_and_are_cold_when_it_is_back() {
     let mut registry = Registry::default();
     registry.put(NOW, listing("old", "a", 1));
-    registry.evacuated(NOW, IndexMap::from([(zone("a"), NOW)]));
+    registry.set_evacuated(NOW, IndexMap::from([(zone("a"), NOW)]));
     registry.put(NOW, listing("new", "a", 2));
     registry.put(NOW, listing("else", "b", 3));
-    let takes: Vec<_> = registry.iter().map(Known::takes_work).collect();
+    let takes: Vec<_> = registry.iter().map(ListedEndpoint::accepts_work).collect();
     expect_that!(takes, elements_are![eq(&false), eq(&false), eq(&true)]);
     let back = NOW.plus(10_000);
-    registry.evacuated(back, IndexMap::new());
+    registry.set_evacuated(back, IndexMap::new());
     let cold: Vec<_> = registry.iter().map(|known| known.is_cold(back)).collect();
     expect_that!(cold, elements_are![eq(&true), eq(&true), eq(&false)]);
     let later = back.plus(3_000);
     expect_that!(registry.iter().any(|known| known.is_cold(later)), eq(false));
-    expect_that!(registry.iter().all(Known::takes_work), eq(true));
+    expect_that!(registry.iter().all(ListedEndpoint::accepts_work), eq(true));
 }
--- a/crates/citronway-core/tests/gateway_hot_ranges.rs
+++ b/crates/citronway-core/tests/gateway_hot_ranges.rs
@@ -7,7 +7,7 @@
 use citronway_core::gateway::assignment::{Assignment, Holder, Range};
 use citronway_core::gateway::keyload::KeyLoads;
 use citronway_core::gateway::leader::Move;
-use citronway_core::gateway::placement::{Place, Scene, propose};
+use citronway_core::gateway::placement::{PlacementEndpoint, PlacementInput, propose};
 use citronway_core::ids::EndpointStart;
 use citronway_core::time::Mono;
 use googletest::prelude::*;
@@ -77,7 +77,7 @@
         let (mut sent, mut in_time) = (0.0, 0.0);
         while self.now < end {
             self.now = self.now.plus(STEP_MS);
-            self.load.fade(self.now);
+            self.load.decay(self.now);
             for left in self.backlog.values_mut() {
                 *left = (*left - CAPACITY * STEP_MS as f64 / 1_000.0).max(0.0);
             }
@@ -113,18 +113,18 @@
         let places: Vec<_> = self
             .backlog
             .iter()
-            .map(|(endpoint, left)| Place {
+            .map(|(endpoint, left)| PlacementEndpoint {
                 endpoint: endpoint.clone(),
                 capacity: CAPACITY,
-                takes: true,
-                must_leave: false,
-                queue: *left > SLOTS,
+                accepts_keys: true,
+                must_drain: false,
+                has_queue: *left > SLOTS,
             })
             .collect();
-        let moves = propose(&Scene {
+        let moves = propose(&PlacementInput {
             row: &self.row,
             load: &self.load,
-            places: &places,
+            endpoints: &places,
         });
         for wish in moves {
             self.begin(&wish);
--- a/crates/citronway-core/tests/gateway_outage.rs
+++ b/crates/citronway-core/tests/gateway_outage.rs
@@ -18,11 +18,11 @@
 #[gtest]
 fn rows_of_the_last_moment_are_no_sign_of_life() {
     let mut outage = Outage::default();
-    outage.heard(Mono(1_000), false, seen(10));
-    outage.heard(Mono(1_100), true, seen(10));
-    outage.heard(Mono(1_700), true, seen(12));
-    outage.heard(Mono(9_000), true, seen(12));
-    expect_that!(outage.is_own(), eq(false));
+    outage.observe(Mono(1_000), false, seen(10));
+    outage.observe(Mono(1_100), true, seen(10));
+    outage.observe(Mono(1_700), true, seen(12));
+    outage.observe(Mono(9_000), true, seen(12));
+    expect_that!(outage.is_local(), eq(false));
 }
 
 /// One instance is cut off for ten seconds while endpoints leave. It has to know on its
@@ -30,10 +30,10 @@
 #[gtest]
 fn rows_that_others_go_on_seeing_show_a_cut_of_this_instance() {
     let mut outage = Outage::default();
-    outage.heard(Mono(1_000), false, seen(10));
-    outage.heard(Mono(1_100), true, seen(10));
-    outage.heard(Mono(5_000), true, seen(14));
-    expect_that!(outage.is_own(), eq(true));
-    outage.heard(Mono(11_000), false, seen(20));
-    expect_that!(outage.is_own(), eq(false));
+    outage.observe(Mono(1_000), false, seen(10));
+    outage.observe(Mono(1_100), true, seen(10));
+    outage.observe(Mono(5_000), true, seen(14));
+    expect_that!(outage.is_local(), eq(true));
+    outage.observe(Mono(11_000), false, seen(20));
+    expect_that!(outage.is_local(), eq(false));
 }
--- a/crates/citronway-core/tests/gateway_placement.rs
+++ b/crates/citronway-core/tests/gateway_placement.rs
@@ -7,7 +7,7 @@
 use citronway_core::gateway::assignment::{Assignment, FENCES_A_MOVE, Holder, LAST_KEY, Range};
 use citronway_core::gateway::keyload::KeyLoads;
 use citronway_core::gateway::leader::Span;
-use citronway_core::gateway::placement::{Place, Scene, propose};
+use citronway_core::gateway::placement::{PlacementEndpoint, PlacementInput, propose};
 use citronway_core::ids::EndpointStart;
 use citronway_core::time::Mono;
 use googletest::prelude::*;
@@ -16,13 +16,13 @@
 /// Requests a second of an endpoint with six slots and work of 200 ms.
 const CAPACITY: f64 = 30.0;
 
-fn place(id: &str) -> Place {
-    Place {
+fn place(id: &str) -> PlacementEndpoint {
+    PlacementEndpoint {
         endpoint: EndpointStart::new(id, None),
         capacity: CAPACITY,
-        takes: true,
-        must_leave: false,
-        queue: false,
+        accepts_keys: true,
+        must_drain: false,
+        has_queue: false,
     }
 }
 
@@ -74,9 +74,13 @@
 fn moves(
     row: &Assignment,
     load: &KeyLoads,
-    places: &[Place],
+    places: &[PlacementEndpoint],
 ) -> Vec<citronway_core::gateway::leader::Move> {
-    propose(&Scene { row, load, places })
+    propose(&PlacementInput {
+        row,
+        load,
+        endpoints: places,
+    })
 }
 
 #[gtest]
@@ -160,8 +164,8 @@
         75.0,
     );
     let mut places = ["a", "b", "c"].map(place);
-    places[1].must_leave = true;
-    places[1].takes = false;
+    places[1].must_drain = true;
+    places[1].accepts_keys = false;
     let begun = moves(&row, &load, &places);
     let keys: u32 = begun
         .iter()
@@ -198,8 +202,8 @@
     let row = even(&["a"]);
     let load = KeyLoads::new(Mono(0), 1_500.0, 1_500.0);
     let mut only = place("a");
-    only.must_leave = true;
-    only.takes = false;
+    only.must_drain = true;
+    only.accepts_keys = false;
     expect_that!(moves(&row, &load, &[only]), is_empty());
 }
 
@@ -219,7 +223,7 @@
         add(&mut load, hot(key), 10.0);
     }
     let mut places = ["a", "b", "c", "d"].map(place);
-    places[0].queue = true;
+    places[0].has_queue = true;
     let begun = moves(&row, &load, &places);
     expect_that!(begun.len(), ge(2));
     for wish in begun {
@@ -240,7 +244,7 @@
     let mut places = ["a", "b"].map(place);
     for place in &mut places {
         place.capacity = 8.0;
-        place.queue = true;
+        place.has_queue = true;
     }
     expect_that!(moves(&row, &load, &places), is_empty());
 }
@@ -313,8 +317,8 @@
     add(&mut load, all, 300.0 * CAPACITY);
     let mut places: Vec<_> = names.iter().map(|name| place(name)).collect();
     for place in places.iter_mut().step_by(3) {
-        place.must_leave = true;
-        place.takes = false;
+        place.must_drain = true;
+        place.accepts_keys = false;
     }
     let begun = moves(&row, &load, &places);
     expect_that!(begun.len(), all!(ge(100), lt(600)));
@@ -348,13 +352,13 @@
     let mut load = KeyLoads::new(Mono(0), 6_000.0, 400.0);
     let per_ms = endpoints as u64 * 7;
     for at in (0..ms).step_by(100) {
-        load.fade(Mono(at));
+        load.decay(Mono(at));
         for _ in 0..per_ms / 10 {
             let key = random.below(u64::from(LAST_KEY) + 1);
             load.add(u16::try_from(key).unwrap_or(LAST_KEY));
         }
     }
-    load.fade(Mono(ms));
+    load.decay(Mono(ms));
     load
 }
 
@@ -392,6 +396,6 @@
     let begun = moves(&row, &load, &places);
     expect_that!(begun.iter().any(|wish| wish.span.overlaps(hot)), eq(true));
     // And is over half a second after it has ended.
-    load.fade(Mono(9_500));
+    load.decay(Mono(9_500));
     expect_that!(load.of(hot), lt(30.0));
 }
--- a/crates/citronway-core/tests/gateway_registry.rs
+++ b/crates/citronway-core/tests/gateway_registry.rs
@@ -45,7 +45,7 @@
 fn entries_that_lapsed_in_an_outage_are_believed_for_two_seconds() {
     let mut registry = two();
     registry.store_lost();
-    registry.store_back(Mono(9_000));
+    registry.store_regained(Mono(9_000));
     for name in registry.names() {
         registry.remove(Mono(9_010), &name);
     }
@@ -60,7 +60,7 @@
 fn the_grace_does_not_outlast_its_time() {
     let mut registry = two();
     registry.store_lost();
-    registry.store_back(Mono(1_000));
+    registry.store_regained(Mono(1_000));
     registry.remove(Mono(1_000 + LAPSE_GRACE_MS), &EndpointName::new("one"));
     expect_that!(names(&registry), elements_are![eq("two")]);
 }
@@ -131,9 +131,9 @@
     registry.put(Mono(1_000), leaving.clone());
     registry.put(Mono(1_200), leaving);
     let known = registry.get(&EndpointStart::new("one", None)).or_fail()?;
-    expect_that!(known.takes_work(), eq(false));
-    expect_that!(known.takes_owned_work(Mono(1_299)), eq(true));
-    expect_that!(known.takes_owned_work(Mono(1_300)), eq(false));
+    expect_that!(known.accepts_work(), eq(false));
+    expect_that!(known.accepts_owned_work(Mono(1_299)), eq(true));
+    expect_that!(known.accepts_owned_work(Mono(1_300)), eq(false));
     Ok(())
 }
 
@@ -144,7 +144,7 @@
 fn an_entry_that_went_while_only_this_instance_was_cut_off_is_gone() {
     let mut registry = two();
     registry.store_lost();
-    registry.store_went_on();
+    registry.outage_was_local();
     registry.remove(Mono(9_010), &EndpointName::new("one"));
     expect_that!(names(&registry), elements_are![eq("two")]);
 }
@@ -160,7 +160,7 @@
     registry.put(Mono(2_000), listing("one", 1));
     let takes = |registry: &Registry, now| {
         let known = registry.get(&EndpointStart::new("one", None));
-        known.is_some_and(|known| known.takes_owned_work(now))
+        known.is_some_and(|known| known.accepts_owned_work(now))
     };
     expect_that!(takes(&registry, Mono(60_000)), eq(true));
     registry.put(Mono(70_000), leaving);
@@ -195,7 +195,7 @@
     expect_that!(registry.get(&first.start).is_some(), eq(false));
     expect_that!(registry.is_replaced(&first.start, first.address), eq(true));
     let known = registry.get(&second.start).or_fail()?;
-    expect_that!(known.takes_work(), eq(true));
+    expect_that!(known.accepts_work(), eq(true));
     expect_that!(known.first_seen, eq(Mono(3_000)));
     expect_that!(known.warm_at, eq(Mono(3_500)));
     Ok(())
@@ -250,7 +250,7 @@
 fn an_entry_of_an_unknown_service_takes_no_address() {
     let mut registry = two();
     let services = |names: &[&str]| names.iter().map(|name| ServiceName::new(name)).collect();
-    registry.configured(services(&["batch"]));
+    registry.set_services(services(&["batch"]));
     let mut stranger = listing("stranger", 1);
     stranger.service = ServiceName::new("unheard-of");
     registry.put(Mono(5), stranger);
@@ -258,7 +258,7 @@
         names(&registry),
         elements_are![eq("one"), eq("two"), eq("stranger")]
     );
-    registry.configured(services(&["batch", "unheard-of"]));
+    registry.set_services(services(&["batch", "unheard-of"]));
     expect_that!(names(&registry), elements_are![eq("two"), eq("stranger")]);
 }
 
@@ -268,6 +268,6 @@
 fn an_entry_that_cannot_be_used_names_no_endpoint() {
     let mut registry = two();
     registry.store_lost();
-    registry.withdraw(&EndpointName::new("one"));
+    registry.discard(&EndpointName::new("one"));
     expect_that!(names(&registry), elements_are![eq("two")]);
 }
--- a/crates/citronway-core/tests/gateway_report.rs
+++ b/crates/citronway-core/tests/gateway_report.rs
@@ -1,8 +1,8 @@
 //! What a delegate makes of the reports of its members.
 
 use citronway_core::gateway::pace::{Answers, EndpointTag};
-use citronway_core::gateway::report::{EndpointUse, KeySamples, Seen};
-use citronway_core::gateway::tree::Gathered;
+use citronway_core::gateway::report::{EndpointUse, KeySamples, Observations};
+use citronway_core::gateway::tree::GatheredReports;
 use citronway_core::ids::ServiceName;
 use googletest::prelude::*;
 
@@ -31,16 +31,16 @@
 /// keys were asked for, each of them once.
 #[gtest]
 fn a_delegate_sums_up_answers_and_keys_of_all_reports_and_what_is_in_flight_now() {
-    let mut gathered = Gathered::default();
+    let mut gathered = GatheredReports::default();
     // The same member twice: its first request has been answered meanwhile.
     gathered.add(&[used(1, 1, 0)], &keys(&[5]));
     gathered.add(&[used(1, 0, 2), used(2, 1, 0)], &keys(&[6, 7]));
-    let own = Seen {
+    let own = Observations {
         endpoints: vec![used(2, 3, 0)],
         keys: keys(&[8]),
     };
     let now = [(EndpointTag(1), 0, 2), (EndpointTag(2), 1, 0)];
-    let mut sum = gathered.with(&own, now.into_iter());
+    let mut sum = gathered.take_with(&own, now.into_iter());
     sum.endpoints.sort_by_key(|used| used.tag);
     expect_that!(sum.endpoints.len(), eq(2));
     let [one, two] = [sum.endpoints[0], sum.endpoints[1]];
@@ -49,6 +49,6 @@
     expect_that!(one.answers.served, eq(6.0));
     expect_that!(two.answers.failed, eq(2.0));
     expect_that!(sum.keys, eq(&keys(&[5, 6, 7, 8])));
-    let nothing = gathered.with(&Seen::default(), std::iter::empty());
-    expect_that!(nothing, eq(&Seen::default()));
+    let nothing = gathered.take_with(&Observations::default(), std::iter::empty());
+    expect_that!(nothing, eq(&Observations::default()));
 }
--- a/crates/citronway-core/tests/gateway_routes.rs
+++ b/crates/citronway-core/tests/gateway_routes.rs
@@ -1,7 +1,7 @@
 //! The route of a request and the division of a split route.
 
 use citronway_core::gateway::routes::{
-    CallerLimits, Checked, Draft, Repeat, Route, RouteTable, Service, Target,
+    CallerLimits, CheckedRoutes, Draft, Repeat, Route, RouteTable, Service, Target,
 };
 use citronway_core::ids::{ServiceName, Version};
 use googletest::prelude::*;
@@ -25,7 +25,7 @@
     }
 }
 
-fn table(routes: Vec<Route>) -> Checked {
+fn table(routes: Vec<Route>) -> CheckedRoutes {
     let service = Service {
         max_connections: 130,
         sharded: false,
--- a/crates/citronway-core/tests/gateway_service_limit.rs
+++ b/crates/citronway-core/tests/gateway_service_limit.rs
@@ -243,18 +243,18 @@
     let free = EndpointLoad { waiting: 0, ..full };
     let mut limit = ServiceLimit::default();
     for _ in 0..200 {
-        limit.answered(Some(full), 3);
+        limit.record_answer(Some(full), 3);
     }
     expect_that!(limit.limit(), eq(1.0));
     expect_that!(limit.has_room(0, 0.5), eq(true));
     expect_that!(limit.has_room(1, 0.5), eq(false));
     for _ in 0..100 {
-        limit.answered(Some(free), 300);
+        limit.record_answer(Some(free), 300);
     }
     expect_that!(limit.limit(), gt(5.0));
     // One that is not used says nothing.
     let before = limit.limit();
-    limit.answered(Some(free), 0);
+    limit.record_answer(Some(free), 0);
     expect_that!(limit.limit(), eq(before));
 }
 
@@ -263,12 +263,12 @@
 fn an_instance_with_many_requests_is_not_held_back() {
     let mut limit = ServiceLimit::default();
     expect_that!(limit.has_room(300, 0.5), eq(true));
-    limit.turned_away(Mono(1_000), 300);
+    limit.record_rejection(Mono(1_000), 300);
     let after = limit.limit();
     expect_that!(after, all!(gt(200.0), lt(301.0)));
     // Within a thousand answers, seconds of its traffic, it has grown by several requests.
     for _ in 0..1_000 {
-        limit.answered(None, 300);
+        limit.record_answer(None, 300);
     }
     expect_that!(limit.limit(), gt(after + 8.0));
 }
--- a/crates/citronway-core/tests/gateway_shares.rs
+++ b/crates/citronway-core/tests/gateway_shares.rs
@@ -1,7 +1,7 @@
 //! Places at endpoints and second sends, divided among instances without asking.
 
-use citronway_core::gateway::budget::{FleetSize, SecondSends, SharedLimit};
-use citronway_core::gateway::share::{Demand, allowed, part_of_free, places};
+use citronway_core::gateway::budget::{FleetSize, RetryLimit, SharedRetryBudget};
+use citronway_core::gateway::share::{Demand, fair_share, in_flight_limit, share_of_free};
 use citronway_core::time::Mono;
 use googletest::prelude::*;
 use proptest::prelude::{ProptestConfig, prop_assert, prop_assert_eq, proptest};
@@ -18,7 +18,7 @@
     let all = demands(wanted);
     let share = |i: usize| {
         let others: Vec<_> = all.iter().filter(|d| d.rank != i as u64).copied().collect();
-        allowed(places, all[i], &others)
+        fair_share(places, all[i], &others)
     };
     (0..all.len()).map(share).collect()
 }
@@ -30,8 +30,8 @@
 
 #[gtest]
 fn a_few_requests_wait_at_the_endpoint() {
-    expect_that!(places(6), eq(9));
-    expect_that!(places(2), eq(3));
+    expect_that!(in_flight_limit(6), eq(9));
+    expect_that!(in_flight_limit(2), eq(3));
 }
 
 /// Ninety instances have one request each for an endpoint with nine places and know the
@@ -45,12 +45,12 @@
         let mut given = 0;
         for draw in 0..draws {
             let chance = f64::from(draw) / f64::from(draws);
-            given += 90 * part_of_free(9, in_flight, 1, 90, chance);
+            given += 90 * share_of_free(9, in_flight, 1, 90, chance);
         }
         expect_that!(f64::from(given) / f64::from(draws), near(free, 0.2));
     }
-    expect_that!(part_of_free(9, 2, 1, 3, 0.99), eq(7));
-    expect_that!(part_of_free(9, 0, 30, 30, 0.99), eq(9));
+    expect_that!(share_of_free(9, 2, 1, 3, 0.99), eq(7));
+    expect_that!(share_of_free(9, 0, 30, 30, 0.99), eq(9));
 }
 
 proptest! {
@@ -75,7 +75,7 @@
     }
 }
 
-const LIMIT: SharedLimit = SharedLimit {
+const LIMIT: RetryLimit = RetryLimit {
     ratio: 0.2,
     slack: 60.0,
     window_ms: 10_000,
@@ -85,15 +85,15 @@
 /// as it may. Together they stay within what the users allow in any ten seconds.
 #[gtest]
 fn second_sends_of_all_instances_stay_within_the_shared_limit() {
-    let mut all: Vec<_> = (0..10).map(|_| SecondSends::new(LIMIT)).collect();
+    let mut all: Vec<_> = (0..10).map(|_| SharedRetryBudget::new(LIMIT)).collect();
     let mut sent = Vec::new();
     let mut asked = Vec::new();
     for ms in (0..40_000).step_by(50) {
         let now = Mono(ms);
         for budget in &mut all {
-            budget.request(now);
+            budget.record_request(now);
             asked.push(ms);
-            while budget.take(now, 10) {
+            while budget.try_take(now, 10) {
                 sent.push(ms);
             }
         }
@@ -109,30 +109,30 @@
 
 #[gtest]
 fn a_budget_fills_up_again() {
-    let mut budget = SecondSends::new(LIMIT);
-    while budget.take(Mono(0), 10) {}
-    expect_that!(budget.take(Mono(9_000), 10), eq(false));
-    expect_that!(budget.take(Mono(20_500), 10), eq(true));
+    let mut budget = SharedRetryBudget::new(LIMIT);
+    while budget.try_take(Mono(0), 10) {}
+    expect_that!(budget.try_take(Mono(9_000), 10), eq(false));
+    expect_that!(budget.try_take(Mono(20_500), 10), eq(true));
 }
 
 /// Guards against a new leader that hears of few, by which each instance takes the slack of all.
 #[gtest]
 fn second_sends_stay_within_the_limit_while_the_leader_changes() {
     const INSTANCES: u32 = 87;
-    let limit = SharedLimit {
+    let limit = RetryLimit {
         ratio: 0.2,
         slack: 214.0,
         window_ms: 10_000,
     };
     let mut fleet = FleetSize::default();
-    fleet.told(Mono(0), INSTANCES);
+    fleet.update(Mono(0), INSTANCES);
     for (at, told) in [(9_000, 1), (9_200, 8), (9_400, 26), (9_600, 87)] {
-        fleet.told(Mono(at), told);
+        fleet.update(Mono(at), told);
         let now = Mono(at);
         let mut all = 0;
         for _ in 0..INSTANCES {
-            let mut sends = SecondSends::new(limit);
-            while sends.take(now, fleet.count()) {
+            let mut sends = SharedRetryBudget::new(limit);
+            while sends.try_take(now, fleet.count()) {
                 all += 1;
             }
         }
@@ -144,9 +144,9 @@
 #[gtest]
 fn a_smaller_fleet_counts_once_it_was_told_for_long() {
     let mut fleet = FleetSize::default();
-    fleet.told(Mono(0), 87);
-    fleet.told(Mono(14_000), 20);
+    fleet.update(Mono(0), 87);
+    fleet.update(Mono(14_000), 20);
     expect_that!(fleet.count(), eq(87));
-    fleet.told(Mono(15_000), 20);
+    fleet.update(Mono(15_000), 20);
     expect_that!(fleet.count(), eq(20));
 }
--- a/crates/citronway-core/tests/leader_world/mod.rs
+++ b/crates/citronway-core/tests/leader_world/mod.rs
@@ -14,7 +14,7 @@
 use citronway_core::gateway::leader::{
     Action, Leader, LeaderSettings, Move, Order, OrderResult, Rivals, Span, WriteResult,
 };
-use citronway_core::gateway::placement::{self, Place, Scene};
+use citronway_core::gateway::placement::{self, PlacementEndpoint, PlacementInput};
 use citronway_core::gateway::registry::{Listing, Registry};
 use citronway_core::ids::{EndpointStart, ServiceName, Version, ZoneName};
 use citronway_core::time::Mono;
@@ -235,7 +235,7 @@
         let name = self.endpoints[i].id();
         if self.random.chance(5_000) {
             self.registry.store_lost();
-            self.registry.store_back(self.now);
+            self.registry.store_regained(self.now);
         }
         self.registry.remove(self.now, name.name());
     }
@@ -265,7 +265,7 @@
         self.evacuated = evacuated;
         let zones = evacuated.then(|| (zone_of(0), self.now));
         self.registry
-            .evacuated(self.now, zones.into_iter().collect());
+            .set_evacuated(self.now, zones.into_iter().collect());
     }
 
     /// No more faults come; those under way end by themselves.
@@ -368,25 +368,25 @@
     fn empty_zone(&mut self, i: usize, registry: &Registry) {
         let leader = &mut self.instances[i].leader;
         let now = self.now;
-        let place = |endpoint: &EndpointStart, takes: bool, lost: bool| Place {
+        let place = |endpoint: &EndpointStart, takes: bool, lost: bool| PlacementEndpoint {
             endpoint: endpoint.clone(),
             capacity: 20.0,
-            takes: takes && !lost,
-            must_leave: lost || !takes,
-            queue: false,
+            accepts_keys: takes && !lost,
+            must_drain: lost || !takes,
+            has_queue: false,
         };
         let listed = registry.iter();
         let places: Vec<_> = listed
             .map(|known| {
                 let start = &known.listing.start;
-                place(start, known.takes_work(), leader.is_lost(now, start))
+                place(start, known.accepts_work(), leader.is_lost(now, start))
             })
             .collect();
         let load = KeyLoads::new(now, 6_000.0, 400.0);
-        let scene = Scene {
+        let scene = PlacementInput {
             row: leader.row(),
             load: &load,
-            places: &places,
+            endpoints: &places,
         };
         let moves = placement::propose(&scene);
         leader.start(&moves, registry);
--- a/crates/citronway-core/tests/tree_world/mod.rs
+++ b/crates/citronway-core/tests/tree_world/mod.rs
@@ -6,7 +6,9 @@
 use citronway_core::gateway::election::Strength;
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::gateway::report::{Report, Totals, Versions};
-use citronway_core::gateway::tree::{Branch, Candidate, Place, Role, TELL_MS, Tree};
+use citronway_core::gateway::tree::{
+    Branch, Candidate, Role, TOTALS_INTERVAL_MS, Tree, TreePosition,
+};
 use citronway_core::ids::{InstanceName, Session, SessionId, ZoneName};
 use citronway_core::time::Mono;
 use indexmap::{IndexMap, IndexSet};
@@ -37,7 +39,7 @@
 struct Instance {
     name: InstanceName,
     zone: ZoneName,
-    place: Place,
+    place: TreePosition,
     told: Mono,
     up: bool,
     heard: IndexMap<usize, Mono>,
@@ -80,7 +82,7 @@
         let all = (0..instances).map(|i| Instance {
             name: InstanceName::new(&format!("instance-{i}")),
             zone: ZoneName::new(&format!("zone-{}", i % ZONES)),
-            place: Place::default(),
+            place: TreePosition::default(),
             told: Mono(1_000),
             up: true,
             heard: IndexMap::new(),
@@ -231,7 +233,7 @@
         let one = &mut self.all[instance];
         one.up = true;
         one.told = now;
-        one.place = Place::default();
+        one.place = TreePosition::default();
         one.heard.clear();
     }
 
@@ -246,7 +248,7 @@
     fn step(&mut self) {
         self.now = self.now.plus(STEP_MS);
         self.deliver();
-        if self.now.0.is_multiple_of(TELL_MS) {
+        if self.now.0.is_multiple_of(TOTALS_INTERVAL_MS) {
             self.tell();
         }
         for instance in 1..self.all.len() {
@@ -306,7 +308,7 @@
             }
             Message::Totals(mut totals) => {
                 let one = &mut self.all[link.to];
-                if !one.place.told(now, &totals, address(link.from)) {
+                if !one.place.accept_totals(now, &totals, address(link.from)) {
                     return;
                 }
                 one.told = now;
@@ -332,7 +334,7 @@
                 heard: self.heard.get(&i).copied(),
                 heard_directly: self.directly.get(&i).copied(),
                 strength: Strength(if i < 15 { 1_000 } else { 200 }),
-                stays: true,
+                is_staying: true,
             })
             .collect();
         self.branches = self.tree.plan(self.now, &candidates);
--- a/crates/citronway-wire/src/cold.rs
+++ b/crates/citronway-wire/src/cold.rs
@@ -39,7 +39,7 @@
     )]
     let per_s = from.req.per_s as f32;
     to.set_per_s(per_s);
-    to.set_patience_ms(short(from.req.patience_ms));
+    to.set_patience_ms(short(from.req.max_wait_ms));
 }
 
 pub(crate) fn read_request(from: cold_request::Reader<'_>) -> ColdAsked {
@@ -49,7 +49,7 @@
         req: ColdRequest {
             endpoint: EndpointTag(from.get_endpoint()),
             per_s: f64::from(from.get_per_s()),
-            patience_ms: u64::from(from.get_patience_ms()),
+            max_wait_ms: u64::from(from.get_patience_ms()),
         },
     }
 }
--- a/crates/citronway/src/gateway/control/cluster/copies.rs
+++ b/crates/citronway/src/gateway/control/cluster/copies.rs
@@ -65,7 +65,7 @@
     /// The store stays lost until it answers this instance itself: what it says then goes
     /// before the copy, which is only as new as its giver was.
     pub(in super::super) fn copied(&mut self, now: Mono, copy: &Relay) {
-        let (table, rows) = (copy.table.word(), copy.rows.len());
+        let (table, rows) = (copy.table.as_str(), copy.rows.len());
         log::info!(table, rows, position = copy.position.0; "table copied from another instance");
         let whole = match copy.table {
             // What is not among all of them is gone.
--- a/crates/citronway/src/gateway/control/cluster/evacuations.rs
+++ b/crates/citronway/src/gateway/control/cluster/evacuations.rs
@@ -31,11 +31,11 @@
             let Some(state) = self.evacuation(zone, row, learnt) else {
                 continue;
             };
-            changes.extend(self.evacuations.row_seen(zone, row.version, state));
+            changes.extend(self.evacuations.apply_row(zone, row.version, state));
         }
         if let Some(version) = whole {
             let listed = zones.into_iter().map(|(zone, _)| zone).collect();
-            changes.extend(self.evacuations.listed(&listed, version));
+            changes.extend(self.evacuations.apply_listing(&listed, version));
         }
         if changes.is_empty() {
             return;
@@ -48,7 +48,7 @@
             (zone.clone(), until)
         });
         let zones = zones.collect();
-        Arc::make_mut(&mut self.registry).evacuated(now, zones);
+        Arc::make_mut(&mut self.registry).set_evacuated(now, zones);
     }
 
     /// What a row says of a zone; none if it cannot be read, and what is known holds on.
@@ -60,7 +60,7 @@
     ) -> Option<ZoneState> {
         let Some(value) = &row.value else {
             self.unusable.settled(Source::Configuration, &row.key);
-            return Some(ZoneState::TakenBack);
+            return Some(ZoneState::Restored);
         };
         if let Err(e) = store::check_evacuation(zone, value) {
             self.unusable
@@ -81,7 +81,7 @@
         let holders = rows.flat_map(|owners| &owners.assignment.ranges);
         let left = holders.filter(|range| {
             let known = self.registry.get(&range.holder.endpoint);
-            known.is_some_and(citronway_core::gateway::registry::Known::is_evacuated)
+            known.is_some_and(citronway_core::gateway::registry::ListedEndpoint::is_evacuated)
         });
         (zones, left.count())
     }
@@ -101,7 +101,7 @@
                 let just_now = since.is_some();
                 log::info!(zone, version, endpoints, just_now; "zone evacuated");
             }
-            ZoneState::TakenBack => log::info!(zone, version, endpoints; "zone taken back"),
+            ZoneState::Restored => log::info!(zone, version, endpoints; "zone taken back"),
         }
     }
 }
--- a/crates/citronway/src/gateway/control/cluster/load.rs
+++ b/crates/citronway/src/gateway/control/cluster/load.rs
@@ -72,7 +72,7 @@
         self.peers.leader_heard(now, &totals);
         self.crashes.told(now, &totals);
         for pace in &totals.paces {
-            self.paces.told(now, *pace);
+            self.paces.set_leader_estimate(now, *pace);
         }
         self.peers.totals(now, totals);
     }
@@ -96,9 +96,9 @@
         let registry = Arc::make_mut(&mut self.registry);
         match (totals.store_lost, same) {
             (true, _) => registry.store_lost(),
-            (false, true) => registry.store_back(now),
+            (false, true) => registry.store_regained(now),
             // Another leader has it: only the one before was cut off.
-            (false, false) => registry.store_went_on(),
+            (false, false) => registry.outage_was_local(),
         }
     }
 
--- a/crates/citronway/src/gateway/control/cluster/mod.rs
+++ b/crates/citronway/src/gateway/control/cluster/mod.rs
@@ -11,10 +11,10 @@
 use citronway_core::gateway::election::LeaderRow;
 use citronway_core::gateway::evacuation::Evacuations;
 use citronway_core::gateway::outage::Outage;
-use citronway_core::gateway::pace::{EndpointTag, Paces, rank_of};
+use citronway_core::gateway::pace::{EndpointPaces, EndpointTag, rank_of};
 use citronway_core::gateway::registry::Registry;
 use citronway_core::gateway::report::{EndpointUse, Versions};
-use citronway_core::gateway::routes::{Checked, RouteTable};
+use citronway_core::gateway::routes::{CheckedRoutes, RouteTable};
 use citronway_core::gateway::rows::{Relay, Row, Table};
 use citronway_core::gateway::settings::InstanceSettings;
 use citronway_core::ids::{ServiceName, Version, ZoneName};
@@ -80,7 +80,7 @@
     /// When the present leader was first seen.
     pub leader_seen: Mono,
     pub peers: Peers,
-    pub paces: Paces,
+    pub paces: EndpointPaces,
     pub crashes: Crashes,
     pub evacuations: Evacuations,
     /// Time for an evacuation, in milliseconds.
@@ -129,7 +129,7 @@
             leader: None,
             leader_seen: Mono::default(),
             peers: Peers::default(),
-            paces: Paces::default(),
+            paces: EndpointPaces::default(),
             crashes: Crashes::new(rank_of(&cfg.instance)),
             evacuations: Evacuations::default(),
             evacuation_ms: cfg.evacuation_ms,
@@ -249,7 +249,7 @@
             return;
         }
         sight.lost = true;
-        log::warn!(table = table.word(), cause; "store lost");
+        log::warn!(table = table.as_str(), cause; "store lost");
         if table == Table::Endpoints {
             Arc::make_mut(&mut self.registry).store_lost();
         }
@@ -264,14 +264,14 @@
         // Failure: this instance alone was cut off, and takes the entry of an endpoint
         // that has left meanwhile for one that lapsed with the store. Others that saw
         // newer rows show that the store went on.
-        let store_went_on = self.outage.is_own();
-        log::info!(table = table.word(), store_went_on; "store regained");
+        let store_went_on = self.outage.is_local();
+        log::info!(table = table.as_str(), store_went_on; "store regained");
         if table == Table::Endpoints {
             let registry = Arc::make_mut(&mut self.registry);
             if store_went_on {
-                registry.store_went_on();
+                registry.outage_was_local();
             } else {
-                registry.store_back(now);
+                registry.store_regained(now);
             }
         }
         StoreSight::Regained
@@ -282,7 +282,8 @@
             let Some(value) = row.value.as_deref().filter(|_| row.key == CONFIG_KEY) else {
                 continue;
             };
-            let Checked { routes, findings } = match citronway_platform::config::decode(value) {
+            let CheckedRoutes { routes, findings } = match citronway_platform::config::decode(value)
+            {
                 Ok(checked) => checked,
                 Err(e) => {
                     log::error!(cause = e.to_string(); "configuration not taken");
@@ -297,7 +298,7 @@
             log::info!(version = routes.version.0, row = row.version.0; "configuration in force");
             self.unusable.found_in_configuration(&findings);
             let services = routes.services.keys().cloned().collect();
-            Arc::make_mut(&mut self.registry).configured(services);
+            Arc::make_mut(&mut self.registry).set_services(services);
             self.routes = Some(Arc::new(routes));
         }
     }
@@ -402,7 +403,7 @@
     /// highest of a leader that was heard of.
     pub(super) fn stale_tables(&mut self, now: Mono, term: u64) -> Vec<Table> {
         let newest = self.peers.newest(now);
-        self.outage.heard(now, self.endpoints.lost, newest);
+        self.outage.observe(now, self.endpoints.lost, newest);
         let lacks_leader = self.lacks_leader(term);
         let tables = [
             (Table::Config, newest.config),
--- a/crates/citronway/src/gateway/control/cold.rs
+++ b/crates/citronway/src/gateway/control/cold.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use citronway_core::gateway::cold::{ColdGrant, ColdSends};
+use citronway_core::gateway::cold::{ColdGrant, ColdSendLimiter};
 use citronway_core::time::Mono;
 use citronway_wire::cold::{ColdAsked, ColdReply};
 use citronway_wire::report::{self as datagram, Datagram};
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ColdDuty {
     /// Those of all instances, while this one leads.
-    granted: ColdSends,
+    granted: ColdSendLimiter,
     /// Term in which it granted them.
     term: u64,
     asked: IndexMap<u64, Asked>,
@@ -36,10 +36,10 @@
 
 impl ColdDuty {
     /// Sends that this instance grants as the leader of a term.
-    fn granted_in(&mut self, now: Mono, term: u64) -> &mut ColdSends {
+    fn granted_in(&mut self, now: Mono, term: u64) -> &mut ColdSendLimiter {
         if self.term != term {
             self.term = term;
-            self.granted = ColdSends::of_new_leader(now);
+            self.granted = ColdSendLimiter::for_new_leader(now);
         }
         &mut self.granted
     }
@@ -53,7 +53,7 @@
             let term = self.duty.term();
             let part = self.duty.cold_part(now);
             let granted = self.cold.granted_in(now, term);
-            let grant = granted.request_of(now, &ask.req, part);
+            let grant = granted.request_with_share(now, &ask.req, part);
             // Its caller may have left.
             let _ = ask.reply.send(grant);
             return;
@@ -96,7 +96,7 @@
         let term = self.duty.term();
         let part = self.duty.cold_part(now);
         let granted = self.cold.granted_in(now, term);
-        let grant = granted.request_of(now, &asked.req, part);
+        let grant = granted.request_with_share(now, &asked.req, part);
         let reply = ColdReply {
             session: asked.session,
             number: asked.number,
--- a/crates/citronway/src/gateway/control/copies.rs
+++ b/crates/citronway/src/gateway/control/copies.rs
@@ -109,7 +109,7 @@
         let copy = match copy {
             Ok(copy) => copy,
             Err(e) => {
-                log::info!(table = table.word(), cause = e.to_string(); "table not copied");
+                log::info!(table = table.as_str(), cause = e.to_string(); "table not copied");
                 return;
             }
         };
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -1,8 +1,10 @@
 //! The leader's duty on this instance: claiming it, and keeping while it has it.
 
 use citronway_core::gateway::assignment::{Assignment, RowError};
-use citronway_core::gateway::cold::{self, Office};
-use citronway_core::gateway::election::{self, Former, LeaderRow, PeerSight, Situation, Strength};
+use citronway_core::gateway::cold::{self, LeaderStanding};
+use citronway_core::gateway::election::{
+    self, ElectionView, FormerLeader, LeaderRow, PeerState, Strength,
+};
 use citronway_core::gateway::leader::{
     Action, Leader, LeaderSettings, Order, OrderResult, Rivals, WriteResult,
 };
@@ -152,12 +154,12 @@
     /// Which part of all sends to cold endpoints this leader grants now.
     pub(super) fn cold_part(&self, now: Mono) -> Option<f64> {
         let row = self.office.as_ref()?;
-        let office = Office {
-            contact: self.contact,
+        let office = LeaderStanding {
+            confirmed_at: self.contact,
             rivals: self.rivals,
-            earlier: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
+            earlier_leaders: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
         };
-        cold::granted_part(now, &self.cfg, &office)
+        cold::granted_share(now, &self.cfg, &office)
     }
 
     /// Version of the row by which this instance leads, while it does.
@@ -254,7 +256,7 @@
         let store_ms = cluster.store_ms(now);
         let claimed = self.claimed.map_or(now, |(_, at)| at);
         let mut rivals = self.cfg.rivals(now);
-        rivals.hold_until = election::holds_until(now, &self.cfg, former, store_ms, claimed);
+        rivals.hold_until = election::former_holds_until(now, &self.cfg, former, store_ms, claimed);
         if former.is_empty() {
             rivals.connect_until = now;
         }
@@ -352,7 +354,7 @@
             return;
         }
         let sights = cluster.peers.sights();
-        let stopped = |former: &Former| {
+        let stopped = |former: &FormerLeader| {
             former.session.instance == self.me.instance
                 || election::has_stopped(&former.session, office.term, &sights)
         };
@@ -397,9 +399,9 @@
         now: Mono,
         unfit: bool,
         cluster: &'a Cluster,
-        peers: &'a [PeerSight],
-    ) -> Situation<'a> {
-        Situation {
+        peers: &'a [PeerState],
+    ) -> ElectionView<'a> {
+        ElectionView {
             me: &self.me.instance,
             session: self.me.id,
             started: self.known_since,
@@ -411,7 +413,7 @@
             peers,
             standbys: cluster.peers.standbys(),
             instances: cluster.peers.listed(),
-            many: cluster.peers.are_many(now) || cluster.peers.was_told(),
+            is_large_fleet: cluster.peers.are_many(now) || cluster.peers.was_told(),
         }
     }
 
@@ -419,7 +421,7 @@
     /// others of it.
     pub(super) fn watches(&self, now: Mono, cluster: &Cluster) -> bool {
         let peers = cluster.peers.sights();
-        election::watches(now, &self.situation(now, false, cluster, &peers))
+        election::watches_store(now, &self.situation(now, false, cluster, &peers))
     }
 
     fn claim(&mut self, now: Mono, cluster: &Cluster, stopping: bool) -> Option<Change> {
@@ -435,7 +437,7 @@
         let term = row.map_or(0, |row| row.term).max(self.term) + 1;
         let store_ms = cluster.store_ms(now)?;
         let wait_ms = self.cfg.rival_wait_ms() + CLOCK_MARGIN_MS;
-        let former = election::former_after(row, &peers, store_ms, wait_ms);
+        let former = election::former_leaders_after(row, &peers, store_ms, wait_ms);
         let expected = row.map_or(Version(0), |row| row.version);
         let value = match own_rows::leader_value(&self.me, term, former) {
             Ok(value) => value,
--- a/crates/citronway/src/gateway/control/entries.rs
+++ b/crates/citronway/src/gateway/control/entries.rs
@@ -93,7 +93,7 @@
                 self.unusable.settled(Source::Entry, key);
             }
             Said::Unusable(cause) => {
-                registry.withdraw(&name);
+                registry.discard(&name);
                 self.unusable.refused(Source::Entry, key, cause);
             }
         }
--- a/crates/citronway/src/gateway/control/following.rs
+++ b/crates/citronway/src/gateway/control/following.rs
@@ -80,7 +80,7 @@
                 self.ask_for_copy(now, table, events);
                 continue;
             }
-            log::info!(table = table.word(); "others see newer rows, asking anew");
+            log::info!(table = table.as_str(); "others see newer rows, asking anew");
             if table == Table::Own && self.cluster.lacks_leader(self.duty.term()) {
                 self.read_own_rows_anew();
             }
@@ -108,7 +108,7 @@
         let begins = keeps && !self.kept;
         self.kept = keeps;
         if begins {
-            self.tree.begin();
+            self.tree.reset();
         }
         let own_gap_ms = if keeps { OWN_GAP_MS } else { 0 };
         self.follow(Table::Own)
--- a/crates/citronway/src/gateway/control/hearing.rs
+++ b/crates/citronway/src/gateway/control/hearing.rs
@@ -48,7 +48,7 @@
         match datagram::decode(bytes) {
             Ok(Datagram::Report(report)) => self.report_came(&report, from),
             Ok(Datagram::Relay(relay)) => {
-                if self.place.passes_on(from) {
+                if self.place.forwards_from(from) {
                     self.send_to_members(socket, bytes);
                 }
                 self.relay_came(events, &relay);
@@ -72,7 +72,7 @@
         }
         self.duty.term_heard(totals.term);
         let before = self.place.role(now);
-        if !self.place.told(now, &totals, from) {
+        if !self.place.accept_totals(now, &totals, from) {
             return;
         }
         let role = self.place.role(now);
--- a/crates/citronway/src/gateway/control/mod.rs
+++ b/crates/citronway/src/gateway/control/mod.rs
@@ -30,7 +30,7 @@
 use citronway_core::gateway::report;
 use citronway_core::gateway::rows::{Relay, Table};
 use citronway_core::gateway::settings::InstanceSettings;
-use citronway_core::gateway::tree::{Branch, Gathered, Place, Tree};
+use citronway_core::gateway::tree::{Branch, GatheredReports, Tree, TreePosition};
 use citronway_core::ids::{InstanceName, ServiceName, Session, Version};
 use citronway_core::time::Mono;
 use citronway_platform::store::Refused;
@@ -164,10 +164,10 @@
     orders: OrderClient,
     reports: u64,
     /// What was seen since the last report.
-    unreported: report::Seen,
+    unreported: report::Observations,
     /// What members reported since this delegate's last report.
-    gathered: Gathered,
-    place: Place,
+    gathered: GatheredReports,
+    place: TreePosition,
     tree: Tree,
     /// To whom this leader told its sums last, and when.
     branches: Vec<Branch>,
@@ -219,9 +219,9 @@
             signals: ends.signals,
             orders: OrderClient::default(),
             reports: 0,
-            unreported: report::Seen::default(),
-            gathered: Gathered::default(),
-            place: Place::default(),
+            unreported: report::Observations::default(),
+            gathered: GatheredReports::default(),
+            place: TreePosition::default(),
             tree: Tree::default(),
             branches: Vec::new(),
             told_totals: Mono::default(),
@@ -435,7 +435,7 @@
             Ok(cfg) => {
                 // Addresses are those of the listening sockets and stay.
                 log::info!("settings read again, changed; addresses stay until a restart");
-                self.cfg.second_sends = cfg.second_sends;
+                self.cfg.retries = cfg.retries;
                 self.cfg.grace_ms = cfg.grace_ms;
             }
             Err(e) => log::error!(cause = e.to_string(); "settings stay as they are"),
--- a/crates/citronway/src/gateway/control/own_rows.rs
+++ b/crates/citronway/src/gateway/control/own_rows.rs
@@ -2,7 +2,7 @@
 
 use citronway_core::gateway::admission::Owners;
 use citronway_core::gateway::assignment::{Assignment, RowError};
-use citronway_core::gateway::election::{Former, LeaderRow};
+use citronway_core::gateway::election::{FormerLeader, LeaderRow};
 use citronway_core::gateway::rows::{Patch, Relay, Row, Table};
 use citronway_core::ids::{InstanceName, ServiceName, Session, Version};
 use citronway_core::time::Mono;
@@ -33,7 +33,7 @@
 struct StoredLeader {
     session: Session,
     term: u64,
-    former: Vec<Former>,
+    former: Vec<FormerLeader>,
 }
 
 impl Cluster {
@@ -283,7 +283,7 @@
 pub(super) fn leader_value(
     me: &Session,
     term: u64,
-    former: Vec<Former>,
+    former: Vec<FormerLeader>,
 ) -> Result<Vec<u8>, serde_json::Error> {
     serde_json::to_vec(&StoredLeader {
         session: me.clone(),
--- a/crates/citronway/src/gateway/control/peers.rs
+++ b/crates/citronway/src/gateway/control/peers.rs
@@ -4,10 +4,10 @@
 
 use citronway_core::gateway::admission::Standing;
 use citronway_core::gateway::budget::FleetSize;
-use citronway_core::gateway::election::{LeaderRow, PeerSight, Strength};
-use citronway_core::gateway::pace::{EndpointTag, Paces, rank_of};
+use citronway_core::gateway::election::{LeaderRow, PeerState, Strength};
+use citronway_core::gateway::pace::{EndpointPaces, EndpointTag, rank_of};
 use citronway_core::gateway::report::{
-    EndpointTotal, EndpointUse, MOST_LISTED_TELL_ALL, MemberState, Report, Totals, Versions,
+    EndpointTotal, EndpointUse, MAX_LISTED_FULL_MESH, MemberState, Report, Totals, Versions,
 };
 use citronway_core::gateway::rows::Table;
 use citronway_core::gateway::share::Demand;
@@ -34,7 +34,7 @@
 struct Peer {
     address: Option<SocketAddr>,
     zone: Option<ZoneName>,
-    sight: Option<PeerSight>,
+    sight: Option<PeerState>,
     /// When a report of its own came.
     direct: Option<Mono>,
     number: u64,
@@ -83,7 +83,7 @@
         peer.seen = report.seen;
         peer.direct = Some(now);
         peer.endpoints.clone_from(&report.endpoints);
-        peer.see(PeerSight {
+        peer.see(PeerState {
             instance: report.instance.clone(),
             session: report.session,
             heard: now,
@@ -114,7 +114,7 @@
         {
             return;
         }
-        peer.see(PeerSight {
+        peer.see(PeerState {
             instance: member.instance.clone(),
             session: member.session,
             heard,
@@ -130,7 +130,7 @@
     pub(super) fn leader_heard(&mut self, now: Mono, totals: &Totals) {
         let peer = self.entry(&totals.leader.instance);
         peer.seen = totals.seen;
-        peer.see(PeerSight {
+        peer.see(PeerState {
             instance: totals.leader.instance.clone(),
             session: totals.leader.id,
             heard: now,
@@ -158,7 +158,7 @@
     pub(super) fn totals(&mut self, now: Mono, totals: Totals) {
         let newest = self.totals.as_ref().map(|(t, _)| (t.term, t.number));
         if newest.is_none_or(|newest| newest < (totals.term, totals.number)) {
-            self.fleet.told(now, totals.instances);
+            self.fleet.update(now, totals.instances);
             self.totals = Some((totals, now));
         }
     }
@@ -198,7 +198,7 @@
 
     /// Whether there are too many instances for all to tell all, as far as is known here.
     pub(super) fn are_many(&self, now: Mono) -> bool {
-        self.listed() > MOST_LISTED_TELL_ALL || self.fresh_totals(now).is_some()
+        self.listed() > MAX_LISTED_FULL_MESH || self.fresh_totals(now).is_some()
     }
 
     /// All instances that can be told of the sums.
@@ -212,7 +212,7 @@
                 heard: sight.map(|sight| sight.heard),
                 heard_directly: peer.direct,
                 strength: sight.map_or(Strength::default(), |sight| sight.strength),
-                stays: sight.is_some_and(|sight| !sight.stopping),
+                is_staying: sight.is_some_and(|sight| !sight.stopping),
             })
         });
         all.collect()
@@ -221,7 +221,7 @@
     /// Members of this delegate, as the leader wants to know them.
     pub(super) fn members(&self, now: Mono) -> Vec<MemberState> {
         let members = self.reporting(now).filter_map(|peer| peer.sight.as_ref());
-        let state = |sight: &PeerSight| MemberState {
+        let state = |sight: &PeerState| MemberState {
             instance: sight.instance.clone(),
             session: sight.session,
             heard_ago_ms: u16::try_from(now.since(sight.heard)).unwrap_or(u16::MAX),
@@ -251,7 +251,7 @@
     }
 
     /// What is known of each for an election.
-    pub(super) fn sights(&self) -> Vec<PeerSight> {
+    pub(super) fn sights(&self) -> Vec<PeerState> {
         self.all
             .values()
             .filter_map(|peer| peer.sight.clone())
@@ -326,7 +326,7 @@
         self.leader_sight(now, leader).is_some()
     }
 
-    fn leader_sight(&self, now: Mono, leader: &LeaderRow) -> Option<&PeerSight> {
+    fn leader_sight(&self, now: Mono, leader: &LeaderRow) -> Option<&PeerState> {
         let peer = self.all.get(&leader.instance)?;
         let sight = peer.sight.as_ref()?;
         let heard = now.since(sight.heard) < QUIET_MS;
@@ -347,7 +347,7 @@
     pub(super) fn standings(
         &self,
         now: Mono,
-        paces: &Paces,
+        paces: &EndpointPaces,
         own: &IndexMap<EndpointTag, EndpointUse>,
     ) -> IndexMap<EndpointTag, Standing> {
         let mut all = IndexMap::<EndpointTag, Standing>::new();
@@ -409,15 +409,15 @@
 
 impl Peer {
     /// Takes what is newer than what was known; keeps since when it has been so.
-    fn see(&mut self, newer: PeerSight) {
-        let unchanged = |sight: &&PeerSight| {
+    fn see(&mut self, newer: PeerState) {
+        let unchanged = |sight: &&PeerState| {
             sight.session == newer.session
                 && sight.stopping == newer.stopping
                 && sight.unfit == newer.unfit
         };
         let known = self.sight.as_ref().filter(unchanged);
         let since = known.map_or(newer.since, |sight| sight.since);
-        self.sight = Some(PeerSight { since, ..newer });
+        self.sight = Some(PeerState { since, ..newer });
     }
 }
 
--- a/crates/citronway/src/gateway/control/placing.rs
+++ b/crates/citronway/src/gateway/control/placing.rs
@@ -3,8 +3,8 @@
 use citronway_core::gateway::keyload::KeyLoads;
 use citronway_core::gateway::leader::Leader;
 use citronway_core::gateway::pace::EndpointTag;
-use citronway_core::gateway::placement::{self, Place, Scene};
-use citronway_core::gateway::registry::Known;
+use citronway_core::gateway::placement::{self, PlacementEndpoint, PlacementInput};
+use citronway_core::gateway::registry::ListedEndpoint;
 use citronway_core::gateway::report::Report;
 use citronway_core::ids::ServiceName;
 use citronway_core::time::Mono;
@@ -100,7 +100,7 @@
         leader: &mut Leader,
     ) {
         let work_ms = self.work_ms.get(service).copied().unwrap_or(FIRST_WORK_MS);
-        let listed = cluster.registry.of(service);
+        let listed = cluster.registry.of_service(service);
         let waiting = cluster.waiting(now);
         let queues = |tag, slots| waiting.get(&tag).is_some_and(|count| *count > slots);
         let places: Vec<_> = listed
@@ -113,11 +113,11 @@
             .loads
             .entry(service.clone())
             .or_insert_with(|| new_loads(now));
-        loads.fade(now);
-        let scene = Scene {
+        loads.decay(now);
+        let scene = PlacementInput {
             row: leader.row(),
             load: loads,
-            places: &places,
+            endpoints: &places,
         };
         let moves = placement::propose(&scene);
         if moves.is_empty() {
@@ -139,12 +139,12 @@
 
 /// Divides the keys of a service for the first time.
 fn found(now: Mono, cluster: &Cluster, service: &ServiceName, leader: &mut Leader) {
-    let listed: Vec<_> = cluster.registry.of(service).collect();
+    let listed: Vec<_> = cluster.registry.of_service(service).collect();
     let first = listed.iter().map(|known| known.first_seen).min();
     if first.is_none_or(|at| now.since(at) < FOUND_AFTER_MS) {
         return;
     }
-    let usable = listed.iter().filter(|known| known.takes_work());
+    let usable = listed.iter().filter(|known| known.accepts_work());
     let usable: Vec<_> = usable.map(|known| &known.listing).collect();
     leader.found(&usable);
 }
@@ -154,20 +154,20 @@
     now: Mono,
     cluster: &Cluster,
     leader: &Leader,
-    known: &Known,
+    known: &ListedEndpoint,
     work_ms: f64,
     queue: bool,
-) -> Place {
+) -> PlacementEndpoint {
     let listing = &known.listing;
     let tag = EndpointTag::of(&listing.start);
     let healthy = 1.0 - cluster.paces.failing(now, tag).min(MOST_FAILING);
     let lost = leader.is_lost(now, &listing.start);
     let taken_ms = work_ms * cluster.paces.slowness(now, tag);
-    Place {
+    PlacementEndpoint {
         endpoint: listing.start.clone(),
         capacity: f64::from(listing.slots) * 1_000.0 * healthy / taken_ms,
-        takes: known.takes_work() && !lost && known.warm_at <= now,
-        must_leave: lost || !known.takes_work(),
-        queue,
+        accepts_keys: known.accepts_work() && !lost && known.warm_at <= now,
+        must_drain: lost || !known.accepts_work(),
+        has_queue: queue,
     }
 }
--- a/crates/citronway/src/gateway/control/reporting.rs
+++ b/crates/citronway/src/gateway/control/reporting.rs
@@ -4,9 +4,9 @@
 
 use citronway_core::gateway::assignment::Assignment;
 use citronway_core::gateway::election;
-use citronway_core::gateway::report::{self, MAX_KEYS, MOST_TELL_ALL, Report, Totals};
+use citronway_core::gateway::report::{self, MAX_FULL_MESH, MAX_KEYS, Report, Totals};
 use citronway_core::gateway::rows::{Relay, Table};
-use citronway_core::gateway::tree::{Branch, Role, TELL_MS};
+use citronway_core::gateway::tree::{Branch, Role, TOTALS_INTERVAL_MS};
 use citronway_core::ids::{ServiceName, Version};
 use citronway_core::time::Mono;
 use citronway_wire::relays;
@@ -56,7 +56,7 @@
     /// Whether this instance leads a fleet in which not all tell all.
     pub(super) fn leads_many(&self, now: Mono) -> bool {
         let peers = &self.cluster.peers;
-        self.duty.in_office() && (peers.are_many(now) || peers.heard(now) >= MOST_TELL_ALL)
+        self.duty.in_office() && (peers.are_many(now) || peers.heard(now) >= MAX_FULL_MESH)
     }
 
     /// Reports to all others, in a small fleet.
@@ -95,13 +95,13 @@
         let Some(to) = to.or_else(|| self.cluster.leader_address()) else {
             return;
         };
-        let own = self.report_to_itself(now).seen();
+        let own = self.report_to_itself(now).into_observations();
         let members = self.cluster.peers.members(now);
         let merged = if members.is_empty() {
             own
         } else {
             let in_flight = self.cluster.peers.members_use(now);
-            self.gathered.with(&own, in_flight)
+            self.gathered.take_with(&own, in_flight)
         };
         let mut report = self.report(now, merged);
         report.members = members;
@@ -126,7 +126,7 @@
 
     /// As the leader, tells all instances what they have at contended endpoints together.
     fn tell_totals(&mut self, now: Mono, socket: &UdpSocket) {
-        if now.since(self.told_totals) < TELL_MS {
+        if now.since(self.told_totals) < TOTALS_INTERVAL_MS {
             return;
         }
         self.told_totals = now;
@@ -200,14 +200,14 @@
             endpoints: cluster.contended(now),
             paces: cluster
                 .paces
-                .worth_telling(now, self.reports / 2, PACE_TURNS),
+                .estimates_to_send(now, self.reports / 2, PACE_TURNS),
             refused,
             suspects,
             members: Vec::new(),
         }
     }
 
-    fn report(&self, now: Mono, mut seen: report::Seen) -> Report {
+    fn report(&self, now: Mono, mut seen: report::Observations) -> Report {
         for samples in &mut seen.keys {
             samples.keys.truncate(MAX_KEYS);
         }
@@ -230,7 +230,7 @@
 
     /// Lets an instance know the newest term.
     pub(super) fn report_term(&self, now: Mono, socket: &UdpSocket, to: SocketAddr) {
-        let report = self.report(now, report::Seen::default());
+        let report = self.report(now, report::Observations::default());
         self.send(socket, &datagram::encode(&Datagram::Report(report)), to);
     }
 
--- a/crates/citronway/src/gateway/control/store.rs
+++ b/crates/citronway/src/gateway/control/store.rs
@@ -345,7 +345,7 @@
                 Polled::News(News::Changed { relay, now_ms })
             }
             Err(StoreError::Refused(Refused::HistoryGone)) => {
-                log::info!(table = self.table.word(); "history gone, table read anew");
+                log::info!(table = self.table.as_str(); "history gone, table read anew");
                 Polled::HistoryGone
             }
             Err(e) => Polled::News(News::Lost(e.to_string())),
--- a/crates/citronway/src/gateway/metrics.rs
+++ b/crates/citronway/src/gateway/metrics.rs
@@ -308,7 +308,7 @@
     /// Counts a poll of the store.
     pub(super) fn polled(&self, table: Table, lost: bool) {
         let labels = PollLabels {
-            table: table.word(),
+            table: table.as_str(),
             result: if lost { "lost" } else { "done" },
         };
         self.polls.get_or_create(&labels).inc();
--- a/crates/citronway/src/gateway/traffic/cold.rs
+++ b/crates/citronway/src/gateway/traffic/cold.rs
@@ -45,7 +45,7 @@
         let req = ColdRequest {
             endpoint: EndpointTag::of(endpoint),
             per_s,
-            patience_ms,
+            max_wait_ms: patience_ms,
         };
         let grant = self.state.asks.cold(self.state.ticket(), req).await;
         self.state.metrics.cold(&grant);
--- a/crates/citronway/src/gateway/traffic/seen.rs
+++ b/crates/citronway/src/gateway/traffic/seen.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Seen {
     /// Use of endpoints and keys.
-    pub looked: report::Seen,
+    pub looked: report::Observations,
     /// Usual time of work at each service, in milliseconds.
     pub work_ms: Vec<(citronway_core::ids::ServiceName, f64)>,
     /// What was seen of work that may crash endpoints.
--- a/crates/citronway/src/gateway/traffic/state/mod.rs
+++ b/crates/citronway/src/gateway/traffic/state/mod.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use citronway_core::gateway::admission::{Admission, Choice, Decision, Job, View};
-use citronway_core::gateway::budget::{SecondSends, SharedLimit};
+use citronway_core::gateway::budget::{RetryLimit, SharedRetryBudget};
 use citronway_core::gateway::crashes::{Fingerprint, Sign};
 use citronway_core::gateway::limit::EndpointLoad;
 use citronway_core::gateway::pace::{Answers, EndpointTag};
@@ -50,10 +50,10 @@
     waiting: RefCell<IndexMap<u64, oneshot::Sender<Decision>>>,
     any_waits: Notify,
     tickets: Cell<u64>,
-    limit: SharedLimit,
+    limit: RetryLimit,
     /// How much more than its service states a cold endpoint may get, as a factor.
     cold_overage: f64,
-    second_sends: RefCell<IndexMap<ServiceName, SecondSends>>,
+    second_sends: RefCell<IndexMap<ServiceName, SharedRetryBudget>>,
     /// Mean time of work by route, in milliseconds.
     work: RefCell<IndexMap<String, Work>>,
     answers: RefCell<IndexMap<EndpointTag, Answers>>,
@@ -111,7 +111,7 @@
             waiting: RefCell::default(),
             any_waits: Notify::new(),
             tickets: Cell::new(0),
-            limit: cfg.second_sends,
+            limit: cfg.retries,
             cold_overage: cfg.cold_overage,
             second_sends: RefCell::default(),
             work: RefCell::default(),
@@ -187,20 +187,20 @@
     }
 
     pub(super) fn count_request(&self, now: Mono, service: &ServiceName) {
-        self.budget(service, |budget| budget.request(now));
+        self.budget(service, |budget| budget.record_request(now));
     }
 
     pub(super) fn take_second_send(&self, now: Mono, service: &ServiceName) -> bool {
         let instances = self.view.borrow().instances;
-        self.budget(service, |budget| budget.take(now, instances))
+        self.budget(service, |budget| budget.try_take(now, instances))
     }
 
-    fn budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut SecondSends) -> T) -> T {
+    fn budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut SharedRetryBudget) -> T) -> T {
         let mut all = self.second_sends.borrow_mut();
         let limit = self.limit;
         f(all
             .entry(service.clone())
-            .or_insert_with(|| SecondSends::new(limit)))
+            .or_insert_with(|| SharedRetryBudget::new(limit)))
     }
 
     /// Asks for a place; waits for it if need be.
@@ -419,7 +419,7 @@
             .into_iter()
             .map(|(service, (sum, count))| (service, sum / count));
         Seen {
-            looked: report::Seen {
+            looked: report::Observations {
                 endpoints,
                 keys: samples.collect(),
             },
