--- a/crates/citronway/src/gateway/control/mod.rs
+++ b/crates/citronway/src/gateway/control/mod.rs
@@ -128,7 +128,7 @@
 
 /// What joins the control duty to the traffic and to the process.
 #[derive(Debug)]
-pub(super) struct Ends {
+pub(super) struct Channels {
     /// What the traffic decides by.
     pub view: watch::Sender<View>,
     /// What it saw.
@@ -194,7 +194,7 @@
         settings: PathBuf,
         ready: Ready,
         metrics: Metrics,
-        ends: Ends,
+        ends: Channels,
     ) -> Self {
         let started = clock::mono();
         Self {
--- a/crates/citronway/src/gateway/control/unusable.rs
+++ b/crates/citronway/src/gateway/control/unusable.rs
@@ -19,7 +19,7 @@
 
 impl Source {
     /// Label for metrics.
-    pub(crate) const fn word(self) -> &'static str {
+    pub(crate) const fn label(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
             Self::Entry => "entry",
@@ -62,7 +62,7 @@
         if self.causes.get(&at) == Some(&cause) {
             return;
         }
-        let table = source.word();
+        let table = source.label();
         log::error!(table, key, cause = cause.as_str(); "row cannot be used");
         self.causes.insert(at, cause);
         self.count(source, 1);
--- a/crates/citronway/src/gateway/metrics.rs
+++ b/crates/citronway/src/gateway/metrics.rs
@@ -321,7 +321,7 @@
 
     /// Counts what could not be used of what others wrote into the store.
     pub(super) fn unusable(&self, source: Source, count: u64) {
-        let source = source.word();
+        let source = source.label();
         let labels = UnusableLabels { source };
         self.unusable.get_or_create(&labels).inc_by(count);
     }
--- a/crates/citronway/src/gateway/run.rs
+++ b/crates/citronway/src/gateway/run.rs
@@ -137,7 +137,7 @@
         let _within = runtime.enter();
         control::Signals::listen().map_err(start("signals"))?
     };
-    let ends = control::Ends {
+    let ends = control::Channels {
         view: view_tx,
         seen: seen_rx,
         trials: trials_rx,
