--- a/crates/citronway/src/gateway/control/cold.rs
+++ b/crates/citronway/src/gateway/control/cold.rs
@@ -12,7 +12,7 @@
 
 use super::Control;
 use crate::clock;
-use crate::gateway::traffic::ColdAsk;
+use crate::gateway::traffic::ColdQuery;
 
 /// Time after which an answer of the leader is of no use, in milliseconds: longer than the
 /// traffic waits for it.
@@ -47,7 +47,7 @@
 
 impl Control {
     /// Takes what the traffic asks about a cold endpoint.
-    pub(super) fn cold_asked(&mut self, socket: &UdpSocket, ask: ColdAsk) {
+    pub(super) fn cold_asked(&mut self, socket: &UdpSocket, ask: ColdQuery) {
         let now = clock::mono();
         if self.duty.in_office() {
             let term = self.duty.term();
--- a/crates/citronway/src/gateway/control/crashes.rs
+++ b/crates/citronway/src/gateway/control/crashes.rs
@@ -13,7 +13,7 @@
 use citronway_core::gateway::rows::Row;
 use citronway_core::ids::Version;
 use citronway_core::time::Mono;
-use citronway_platform::store::Change;
+use citronway_platform::store::ConditionalWrite;
 use tokio::sync::mpsc;
 
 use super::own_rows::{CRASHES_KEY, LEADER_KEY};
@@ -272,7 +272,7 @@
         for verdict in crashes.verdicts.drain(..) {
             note(&self.metrics, &verdict);
         }
-        self.metrics.crash_suspects(crashes.ledger.len());
+        self.metrics.set_crash_suspects(crashes.ledger.len());
         // Whoever decides by it is told at once.
         let view = self.view.borrow();
         let is_new = !Arc::ptr_eq(&view.crashes, &crashes.known);
@@ -303,8 +303,8 @@
         crashes.writing = true;
         crashes.write_after = now.plus(WRITE_PAUSE_MS);
         crashes.lacks_since = None;
-        let change = Change {
-            unless_changed: vec![
+        let change = ConditionalWrite {
+            preconditions: vec![
                 (LEADER_KEY.to_owned(), office),
                 (CRASHES_KEY.to_owned(), crashes.expected()),
             ],
@@ -333,6 +333,6 @@
 }
 
 fn note(metrics: &Metrics, verdict: &Verdict) {
-    metrics.judged(verdict);
+    metrics.count_verdict(verdict);
     observe::log_verdict(verdict);
 }
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -9,7 +9,7 @@
 use citronway_core::gateway::report::Report;
 use citronway_core::ids::{ServiceName, Session, Version};
 use citronway_core::time::Mono;
-use citronway_platform::store::Change;
+use citronway_platform::store::ConditionalWrite;
 use indexmap::IndexMap;
 
 use super::cluster::Cluster;
@@ -33,7 +33,7 @@
 pub(super) struct RowWrite {
     pub service: ServiceName,
     pub row: Assignment,
-    pub change: Change,
+    pub change: ConditionalWrite,
 }
 
 /// What is due.
@@ -41,7 +41,7 @@
 pub(super) struct Due {
     pub orders: Vec<Order>,
     pub writes: Vec<RowWrite>,
-    pub claim: Option<Change>,
+    pub claim: Option<ConditionalWrite>,
     /// How long to wait at the store for changes, in milliseconds.
     pub wait_ms: u64,
 }
@@ -371,7 +371,7 @@
     /// Failure: an instance that kept is gone for good and never says that it has
     /// stopped. Left in the row, each later leader would wait for it anew before it
     /// gives the keys of a dead endpoint to another.
-    fn forget_former(&mut self, now: Mono) -> Option<Change> {
+    fn forget_former(&mut self, now: Mono) -> Option<ConditionalWrite> {
         let office = self
             .office
             .as_ref()
@@ -386,8 +386,8 @@
             .ok()?;
         self.claiming = true;
         self.claim_after = now.plus(CLAIM_PAUSE_MS);
-        Some(Change {
-            unless_changed: vec![(own_rows::LEADER_KEY.to_owned(), office.version)],
+        Some(ConditionalWrite {
+            preconditions: vec![(own_rows::LEADER_KEY.to_owned(), office.version)],
             put: vec![(own_rows::LEADER_KEY.to_owned(), value)],
         })
     }
@@ -422,7 +422,7 @@
         election::watches(now, &self.situation(now, false, cluster, &peers))
     }
 
-    fn claim(&mut self, now: Mono, cluster: &Cluster, stopping: bool) -> Option<Change> {
+    fn claim(&mut self, now: Mono, cluster: &Cluster, stopping: bool) -> Option<ConditionalWrite> {
         if self.claiming || now < self.claim_after || self.office.is_some() {
             return None;
         }
@@ -450,8 +450,8 @@
             self.claimed = Some((expected, now));
         }
         self.claim_after = now.plus(CLAIM_PAUSE_MS);
-        Some(Change {
-            unless_changed: vec![(own_rows::LEADER_KEY.to_owned(), expected)],
+        Some(ConditionalWrite {
+            preconditions: vec![(own_rows::LEADER_KEY.to_owned(), expected)],
             put: vec![(own_rows::LEADER_KEY.to_owned(), value)],
         })
     }
@@ -468,8 +468,8 @@
     Ok(RowWrite {
         service,
         row,
-        change: Change {
-            unless_changed: vec![
+        change: ConditionalWrite {
+            preconditions: vec![
                 (own_rows::LEADER_KEY.to_owned(), office.version),
                 (key.clone(), expected),
             ],
--- a/crates/citronway/src/gateway/control/first.rs
+++ b/crates/citronway/src/gateway/control/first.rs
@@ -14,7 +14,7 @@
 use citronway_core::gateway::rows::Table;
 use citronway_core::gateway::settings::InstanceSettings;
 use citronway_core::time::Mono;
-use citronway_platform::store::Change;
+use citronway_platform::store::ConditionalWrite;
 use tokio::sync::mpsc;
 
 use super::peers::InstanceRow;
@@ -120,8 +120,8 @@
             return;
         }
     };
-    let change = Change {
-        unless_changed: Vec::new(),
+    let change = ConditionalWrite {
+        preconditions: Vec::new(),
         put: vec![(own_rows::instance_key(&row.session.instance), value)],
     };
     let mut store = Store::new(store);
--- a/crates/citronway/src/gateway/control/mod.rs
+++ b/crates/citronway/src/gateway/control/mod.rs
@@ -33,7 +33,7 @@
 use citronway_core::gateway::tree::{Branch, Gathered, Place, Tree};
 use citronway_core::ids::{InstanceName, ServiceName, Session, Version};
 use citronway_core::time::Mono;
-use citronway_platform::store::Refused;
+use citronway_platform::store::StoreRefusal;
 use citronway_wire::report as datagram;
 use tokio::net::UdpSocket;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -55,7 +55,7 @@
 use crate::gateway::metrics::Metrics;
 use crate::gateway::ready::{self, Ready};
 use crate::gateway::run;
-use crate::gateway::traffic::{ColdAsk, Seen, Stop, TrialEvent};
+use crate::gateway::traffic::{ColdQuery, Stop, TrafficReport, TrialEvent};
 
 /// Longest time between two looks at what is due, of a leader and of all others.
 const LEADER_TICK: Duration = Duration::from_millis(25);
@@ -132,11 +132,11 @@
     /// What the traffic decides by.
     pub view: watch::Sender<View>,
     /// What it saw.
-    pub seen: mpsc::Receiver<Seen>,
+    pub seen: mpsc::Receiver<TrafficReport>,
     /// What it asks about trials of work under suspicion.
     pub trials: mpsc::Receiver<TrialEvent>,
     /// What it asks about cold endpoints.
-    pub cold: mpsc::Receiver<ColdAsk>,
+    pub cold: mpsc::Receiver<ColdQuery>,
     /// Tells it to stop.
     pub stop: watch::Sender<Stop>,
     /// Signals to this process.
@@ -152,10 +152,10 @@
     ready: Ready,
     metrics: Metrics,
     view: watch::Sender<View>,
-    seen: mpsc::Receiver<Seen>,
+    seen: mpsc::Receiver<TrafficReport>,
     trial_events: mpsc::Receiver<TrialEvent>,
     trials: TrialDuty,
-    cold_asks: mpsc::Receiver<ColdAsk>,
+    cold_asks: mpsc::Receiver<ColdQuery>,
     cold: ColdDuty,
     stop: watch::Sender<Stop>,
     signals: Signals,
@@ -308,7 +308,8 @@
         let now = clock::mono();
         match event {
             Event::Store { table, news, asked } => {
-                self.metrics.polled(table, matches!(news, News::Lost(_)));
+                self.metrics
+                    .count_poll(table, matches!(news, News::Lost(_)));
                 let whole = matches!(news, News::Loaded { .. });
                 match &news {
                     News::Changed { relay, .. } => self.pass_on(now, socket, relay),
@@ -329,7 +330,7 @@
                 }
             }
             Event::Ordered { order, result } => {
-                self.metrics.ordered(&order.kind, &result);
+                self.metrics.count_order(&order.kind, &result);
                 self.duty.ordered(now, &order, &result);
             }
             Event::Wrote { service, result } => {
@@ -370,7 +371,7 @@
         for order in due.orders {
             self.orders.start(order, events.clone());
         }
-        self.metrics.wrote(due.writes.len());
+        self.metrics.count_writes(due.writes.len());
         for write in due.writes {
             let address = self.cfg.store;
             let events = events.clone();
@@ -395,9 +396,9 @@
         self.step_crashes(now, events);
         self.step_cold(now);
         let (zones, ranges) = self.cluster.left_in_evacuated_zones();
-        self.metrics.evacuated(zones, ranges);
+        self.metrics.set_evacuated(zones, ranges);
         for (source, count) in self.cluster.unusable.take_counts() {
-            self.metrics.unusable(source, count);
+            self.metrics.count_unusable(source, count);
         }
         if self.cluster.take_changed() {
             self.publish(now);
@@ -448,9 +449,9 @@
 async fn write_row(address: std::net::SocketAddr, write: &duty::RowWrite) -> WriteResult {
     match Store::new(address).change(&write.change).await {
         Ok(version) => WriteResult::Done(write.row.clone(), version),
-        Err(StoreError::Refused(Refused::Conflict)) => WriteResult::Conflict,
-        Err(StoreError::Refused(Refused::Busy(_))) => WriteResult::NotDone,
-        Err(StoreError::Call(e)) if e.nothing_sent() => WriteResult::NotDone,
+        Err(StoreError::Refused(StoreRefusal::Conflict)) => WriteResult::Conflict,
+        Err(StoreError::Refused(StoreRefusal::Busy(_))) => WriteResult::NotDone,
+        Err(StoreError::Call(e)) if e.is_unsent() => WriteResult::NotDone,
         Err(e) => {
             log::info!(cause = e.to_string(); "outcome of a write is not known");
             WriteResult::Unknown
--- a/crates/citronway/src/gateway/control/orders.rs
+++ b/crates/citronway/src/gateway/control/orders.rs
@@ -12,7 +12,7 @@
 
 use super::Event;
 use crate::clock;
-use crate::gateway::http_link::{CallError, Link, Settled};
+use crate::gateway::http_link::{CallError, ConnectMode, Link};
 
 /// Idle connections for orders, by address.
 #[derive(Debug, Clone, Default)]
@@ -42,7 +42,7 @@
         let limit = Duration::from_millis(left_ms);
         match tokio::time::timeout(limit, self.call(order, limit)).await {
             Ok(Ok(result)) => result,
-            Ok(Err(e)) if e.nothing_sent() => OrderResult::NotSent,
+            Ok(Err(e)) if e.is_unsent() => OrderResult::NotSent,
             Ok(Err(_)) | Err(_) => OrderResult::Lost,
         }
     }
@@ -54,7 +54,7 @@
         let mut link = match self.take(order) {
             Some(link) => link,
             None if clock::mono() >= order.connect_by => return Ok(OrderResult::NotConnected),
-            None => Link::open(order.address, Settled::AtOnceOrReset).await?,
+            None => Link::open(order.address, ConnectMode::ImmediateWithReset).await?,
         };
         if link.opened() >= order.connect_by {
             self.keep(order.address, link);
--- a/crates/citronway/src/gateway/control/reporting.rs
+++ b/crates/citronway/src/gateway/control/reporting.rs
@@ -15,7 +15,7 @@
 
 use super::{Control, own_rows};
 use crate::clock;
-use crate::gateway::traffic::Seen;
+use crate::gateway::traffic::TrafficReport;
 
 /// Of how many looks at the traffic one is reported: by a delegate, by a member, and by one
 /// to whom nobody passes sums on. Hot ranges are cut up by what the leader hears, and their
@@ -33,11 +33,11 @@
 
 impl Control {
     /// Takes an account of the traffic and reports it to the others.
-    pub(super) fn account(&mut self, socket: &UdpSocket, seen: &Seen) {
+    pub(super) fn account(&mut self, socket: &UdpSocket, seen: &TrafficReport) {
         let now = clock::mono();
         self.reports += 1;
         self.duty.work_seen(&seen.work_ms);
-        self.unreported.add(seen.looked.clone());
+        self.unreported.add(seen.usage.clone());
         self.trials.crashes_seen(&seen.signs);
         self.cluster.crashes.own_seen(now, &seen.signs);
         if self.leads_many(now) {
--- a/crates/citronway/src/gateway/control/store.rs
+++ b/crates/citronway/src/gateway/control/store.rs
@@ -8,14 +8,14 @@
 use bytes::Bytes;
 use citronway_core::gateway::rows::{Relay, Row, Table};
 use citronway_core::ids::Version;
-use citronway_platform::store::{self, Change, Refused};
+use citronway_platform::store::{self, ConditionalWrite, StoreRefusal};
 use futures::FutureExt as _;
 use http::Request;
 use tokio::sync::{Notify, mpsc};
 
 use super::Event;
 use crate::clock;
-use crate::gateway::http_link::{Answer, CallError, Link, Settled};
+use crate::gateway::http_link::{Answer, CallError, ConnectMode, Link};
 
 /// How long a call waits beyond what it asked the store to wait.
 ///
@@ -61,7 +61,7 @@
     #[error(transparent)]
     Call(#[from] CallError),
     #[error(transparent)]
-    Refused(#[from] Refused),
+    Refused(#[from] StoreRefusal),
 }
 
 /// A connection to the store that is opened when it is needed.
@@ -82,7 +82,7 @@
     async fn call(&mut self, req: Request<Bytes>, limit: Duration) -> Result<Answer, CallError> {
         let mut link = match self.link.take().filter(Link::is_usable) {
             Some(link) => link,
-            None => Link::open(self.address, Settled::AtOnce).await?,
+            None => Link::open(self.address, ConnectMode::Immediate).await?,
         };
         let answer = link.call(req, limit).await?;
         self.link = Some(link);
@@ -100,7 +100,7 @@
         let mut page = self.page(table, None).await?;
         let (version, now_ms) = (page.version, page.now_ms);
         let mut rows = page.rows;
-        while page.more {
+        while page.has_more {
             let Some(last) = rows.last().map(|row| row.key.clone()) else {
                 break;
             };
@@ -127,9 +127,12 @@
     }
 
     /// Makes a change.
-    pub(super) async fn change(&mut self, change: &Change) -> Result<Version, StoreError> {
+    pub(super) async fn change(
+        &mut self,
+        change: &ConditionalWrite,
+    ) -> Result<Version, StoreError> {
         let req = store::change(&self.address.to_string(), change)
-            .map_err(|e| StoreError::Refused(Refused::Malformed(e)))?;
+            .map_err(|e| StoreError::Refused(StoreRefusal::Malformed(e)))?;
         let answer = self.call(req, CALL_LIMIT).await?;
         Ok(store::read_change(answer.status, &answer.body)?)
     }
@@ -344,7 +347,7 @@
                 let now_ms = rows.now_ms;
                 Polled::News(News::Changed { relay, now_ms })
             }
-            Err(StoreError::Refused(Refused::HistoryGone)) => {
+            Err(StoreError::Refused(StoreRefusal::HistoryGone)) => {
                 log::info!(table = self.table.word(); "history gone, table read anew");
                 Polled::HistoryGone
             }
--- a/crates/citronway/src/gateway/http_link.rs
+++ b/crates/citronway/src/gateway/http_link.rs
@@ -32,20 +32,20 @@
 
 /// When a new connection counts as taken by the other side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Settled {
+pub enum ConnectMode {
     /// Once it is open.
-    AtOnce,
+    Immediate,
     /// The same; it is reset when it is given up.
     ///
     /// Failure: a call is given up while its bytes wait in this machine or on the link,
     /// and the endpoint carries it out long after. A reset drops what was not sent.
-    AtOnceOrReset,
-    /// Once it was not reset for as long as the other side takes to do so, see [`look_for`].
+    ImmediateWithReset,
+    /// Once it was not reset for as long as the other side takes to do so, see [`reset_check_duration`].
     ///
     /// Failure: a full endpoint takes a connection and resets it, and a request that was
     /// written meanwhile may or may not have run. Work that may not be repeated is then
     /// lost to its caller, though it never reached the endpoint.
-    AfterLook,
+    AfterResetCheck,
 }
 
 /// Time that an endpoint takes from a new connection to its reset, at most.
@@ -60,7 +60,7 @@
 /// It is open here half a round trip before the other side knows, and a reset takes as long
 /// to come back; so the time of a round trip is looked at, whatever the distance.
 #[must_use]
-pub fn look_for(connected_in: Duration) -> Duration {
+pub fn reset_check_duration(connected_in: Duration) -> Duration {
     (connected_in + HANDSHAKE).min(LONGEST_LOOK)
 }
 
@@ -87,7 +87,7 @@
     Broken(#[source] hyper::Error),
     /// The answer broke off or is too long.
     #[error("the answer is not whole: {0}")]
-    Cut(#[source] Box<dyn std::error::Error + Send + Sync>),
+    Truncated(#[source] Box<dyn std::error::Error + Send + Sync>),
     /// No answer in time.
     #[error("no answer in time")]
     Timeout,
@@ -96,7 +96,7 @@
 impl CallError {
     /// Whether it is certain that nothing was sent.
     #[must_use]
-    pub const fn nothing_sent(&self) -> bool {
+    pub const fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect(_) | Self::NotSent | Self::Reset)
     }
 }
@@ -124,7 +124,7 @@
 }
 
 /// Looks whether a process listens at an address, for [`CONNECT_TIMEOUT`] at most.
-pub async fn listening(address: SocketAddr) -> Listening {
+pub async fn probe_listener(address: SocketAddr) -> Listening {
     match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(_stream)) => Listening::Yes,
         Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => Listening::No,
@@ -138,19 +138,19 @@
     /// # Errors
     ///
     /// When there is no connection within [`CONNECT_TIMEOUT`].
-    pub async fn open(address: SocketAddr, settled: Settled) -> Result<Self, CallError> {
+    pub async fn open(address: SocketAddr, mode: ConnectMode) -> Result<Self, CallError> {
         let began = Instant::now();
         let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(stream) => stream.map_err(CallError::Connect)?,
             Err(elapsed) => return Err(CallError::Connect(io::Error::other(elapsed))),
         };
         stream.set_nodelay(true).map_err(CallError::Connect)?;
-        if settled == Settled::AtOnceOrReset {
+        if mode == ConnectMode::ImmediateWithReset {
             stream.set_zero_linger().map_err(CallError::Connect)?;
         }
         let opened = clock::mono();
-        let look = look_for(began.elapsed());
-        if settled == Settled::AfterLook && is_reset(&stream, look).await {
+        let look = reset_check_duration(began.elapsed());
+        if mode == ConnectMode::AfterResetCheck && is_reset(&stream, look).await {
             return Err(CallError::Reset);
         }
         let handshake = Builder::new()
@@ -208,7 +208,7 @@
     /// # Errors
     ///
     /// When its head does not come within `limit`, or its body not within
-    /// [`BODY_LIMIT`] after it.
+    /// [`BODY_TIMEOUT`] after it.
     pub async fn call(
         &mut self,
         req: Request<Bytes>,
@@ -216,7 +216,7 @@
     ) -> Result<Answer, CallError> {
         let head = timeout(limit, self.send(req)).await;
         let head = head.unwrap_or(Err(CallError::Timeout))?;
-        let whole = timeout(BODY_LIMIT, read(head)).await;
+        let whole = timeout(BODY_TIMEOUT, read_answer(head)).await;
         whole.unwrap_or(Err(CallError::Timeout))
     }
 }
@@ -226,24 +226,24 @@
 /// Failure: a configuration of many routes takes a quarter of a second over a link of
 /// 10 Mbit/s and longer when all instances fetch it; with one limit for head and body
 /// the call was given up and begun anew, and the old configuration stayed in force.
-const BODY_LIMIT: Duration = Duration::from_secs(3);
+const BODY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Longest body of an answer that is read, in bytes.
 ///
 /// Answers are read whole, so that a cut one never looks complete to a caller.
-const MAX_ANSWER: usize = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 /// Reads the rest of an answer.
 ///
 /// # Errors
 ///
 /// When it breaks off or is too long.
-pub async fn read(answer: Response<Incoming>) -> Result<Answer, CallError> {
+pub async fn read_answer(answer: Response<Incoming>) -> Result<Answer, CallError> {
     let (head, body) = answer.into_parts();
-    let body = Limited::new(body, MAX_ANSWER)
+    let body = Limited::new(body, MAX_ANSWER_BYTES)
         .collect()
         .await
-        .map_err(CallError::Cut)?;
+        .map_err(CallError::Truncated)?;
     Ok(Answer {
         status: head.status,
         headers: head.headers,
--- a/crates/citronway/src/gateway/metrics.rs
+++ b/crates/citronway/src/gateway/metrics.rs
@@ -27,7 +27,7 @@
 
 /// How a request ended, as a label.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum OutcomeKind {
     /// By the endpoint's answer.
     Answered,
     /// Refused without having run.
@@ -38,7 +38,7 @@
     Rejected,
 }
 
-impl Ended {
+impl OutcomeKind {
     const fn labels(self) -> (&'static str, &'static str) {
         match self {
             Self::Answered => ("answered", ""),
@@ -228,7 +228,7 @@
 
 impl Metrics {
     /// Counts a request that took `ms`.
-    pub(super) fn ended(&self, class: Class, ended: Ended, ms: u64) {
+    pub(super) fn record_outcome(&self, class: Class, ended: OutcomeKind, ms: u64) {
         let (outcome, reason) = ended.labels();
         let labels = OutcomeLabels {
             repeat: class.repeat,
@@ -243,49 +243,49 @@
     }
 
     /// Counts a request that found a place after `ms`.
-    pub(super) fn placed(&self, class: Class, ms: u64) {
+    pub(super) fn record_wait(&self, class: Class, ms: u64) {
         let wait = self.wait.get_or_create(&class);
         wait.observe(ms as f64 / 1_000.0);
     }
 
     /// Counts a request that was `ms` at its endpoint.
-    pub(super) fn served(&self, class: Class, ms: u64) {
+    pub(super) fn record_service_time(&self, class: Class, ms: u64) {
         let service = self.service.get_or_create(&class);
         service.observe(ms as f64 / 1_000.0);
     }
 
     /// Notes how many requests wait and how many are at endpoints.
-    pub(super) fn load(&self, waiting: usize, in_flight: u32) {
+    pub(super) fn set_load(&self, waiting: usize, in_flight: u32) {
         self.waiting.set(i64::try_from(waiting).unwrap_or(i64::MAX));
         self.in_flight.set(i64::from(in_flight));
     }
 
     /// Shows a stage from the start, so that its counter is seen to begin at 0.
-    pub(super) fn tells_of_stage(&self, stage: &'static str) {
+    pub(super) fn register_stage(&self, stage: &'static str) {
         let labels = StageLabels { stage };
         drop(self.unanswered.get_or_create(&labels));
         drop(self.callers_left.get_or_create(&labels));
     }
 
     /// Notes how many connections callers have open.
-    pub(super) fn connections(&self, count: u32) {
+    pub(super) fn set_connections(&self, count: u32) {
         self.connections.set(i64::from(count));
     }
 
     /// Notes how many requests stand at a stage.
-    pub(super) fn unanswered(&self, stage: &'static str, count: usize) {
+    pub(super) fn set_unanswered(&self, stage: &'static str, count: usize) {
         let gauge = self.unanswered.get_or_create(&StageLabels { stage });
         gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
     }
 
     /// Counts a request whose caller left.
-    pub(super) fn caller_left(&self, stage: &'static str) {
+    pub(super) fn count_caller_left(&self, stage: &'static str) {
         let labels = StageLabels { stage };
         self.callers_left.get_or_create(&labels).inc();
     }
 
     /// Counts an order.
-    pub(super) fn ordered(&self, kind: &OrderKind, result: &OrderResult) {
+    pub(super) fn count_order(&self, kind: &OrderKind, result: &OrderResult) {
         let order = match kind {
             OrderKind::Grant { .. } => "grant",
             OrderKind::Seal { .. } => "seal",
@@ -306,7 +306,7 @@
     }
 
     /// Counts a poll of the store.
-    pub(super) fn polled(&self, table: Table, lost: bool) {
+    pub(super) fn count_poll(&self, table: Table, lost: bool) {
         let labels = PollLabels {
             table: table.word(),
             result: if lost { "lost" } else { "done" },
@@ -315,24 +315,24 @@
     }
 
     /// Counts writes of assignments.
-    pub(super) fn wrote(&self, count: usize) {
+    pub(super) fn count_writes(&self, count: usize) {
         self.writes.inc_by(count as u64);
     }
 
     /// Counts what could not be used of what others wrote into the store.
-    pub(super) fn unusable(&self, source: Source, count: u64) {
+    pub(super) fn count_unusable(&self, source: Source, count: u64) {
         let source = source.word();
         let labels = UnusableLabels { source };
         self.unusable.get_or_create(&labels).inc_by(count);
     }
 
     /// Counts a request whose endpoint crashed.
-    pub(super) fn crashed(&self) {
+    pub(super) fn count_crash(&self) {
         self.crashes.inc();
     }
 
     /// Counts work that was taken as harmful or let go.
-    pub(super) fn judged(&self, verdict: &Verdict) {
+    pub(super) fn count_verdict(&self, verdict: &Verdict) {
         let verdict = match verdict {
             Verdict::Harmful { .. } => "harmful",
             Verdict::LetGo { .. } => "let_go",
@@ -341,7 +341,7 @@
     }
 
     /// Counts a request for a trial of work under suspicion.
-    pub(super) fn trial(&self, grant: &TrialGrant) {
+    pub(super) fn count_trial_request(&self, grant: &TrialGrant) {
         let answer = match grant {
             TrialGrant::Granted => "granted",
             TrialGrant::Cleared => "cleared",
@@ -351,7 +351,7 @@
     }
 
     /// Counts a request for a send to a cold endpoint.
-    pub(super) fn cold(&self, grant: &ColdGrant) {
+    pub(super) fn count_cold_request(&self, grant: &ColdGrant) {
         let answer = match grant {
             ColdGrant::Granted { .. } => "granted",
             ColdGrant::Busy { .. } => "busy",
@@ -360,14 +360,14 @@
     }
 
     /// Notes which zones are evacuated, and what is left to move out of them.
-    pub(super) fn evacuated(&self, zones: usize, ranges: usize) {
+    pub(super) fn set_evacuated(&self, zones: usize, ranges: usize) {
         let gauge = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         self.evacuated_zones.set(gauge(zones));
         self.evacuated_ranges.set(gauge(ranges));
     }
 
     /// Notes how much work was at endpoints that crashed.
-    pub(super) fn crash_suspects(&self, count: usize) {
+    pub(super) fn set_crash_suspects(&self, count: usize) {
         let count = i64::try_from(count).unwrap_or(i64::MAX);
         self.crash_suspects.set(count);
     }
@@ -377,7 +377,7 @@
     /// # Errors
     ///
     /// When a label cannot be written.
-    pub(super) fn text(&self) -> Result<String, fmt::Error> {
+    pub(super) fn render(&self) -> Result<String, fmt::Error> {
         let mut buf = String::new();
         text::encode_registry(&mut buf, &self.registry)?;
         let dropped = logs::dropped();
--- a/crates/citronway/src/gateway/mod.rs
+++ b/crates/citronway/src/gateway/mod.rs
@@ -13,4 +13,4 @@
 mod run;
 mod traffic;
 
-pub use run::{Error, check, duty_ended, run, settings_path};
+pub use run::{Error, check, finish_duty, run, settings_path};
--- a/crates/citronway/src/gateway/ready.rs
+++ b/crates/citronway/src/gateway/ready.rs
@@ -47,7 +47,7 @@
 }
 
 fn rendered(metrics: &Metrics) -> Response<Full<Bytes>> {
-    match metrics.text() {
+    match metrics.render() {
         Ok(text) => {
             let mut answer = Response::new(Full::new(Bytes::from(text)));
             let kind = HeaderValue::from_static(MEDIA_TYPE);
@@ -91,13 +91,14 @@
 }
 
 fn answer(req: &Request<Incoming>, ready: &Ready) -> Response<Full<Bytes>> {
-    let status = if !citronway_platform::exchange::asks_ready(req.method(), req.uri().path()) {
-        StatusCode::NOT_FOUND
-    } else if ready.get() {
-        StatusCode::OK
-    } else {
-        StatusCode::SERVICE_UNAVAILABLE
-    };
+    let status =
+        if !citronway_platform::exchange::is_readiness_check(req.method(), req.uri().path()) {
+            StatusCode::NOT_FOUND
+        } else if ready.get() {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        };
     let mut answer = Response::new(Full::default());
     *answer.status_mut() = status;
     answer
--- a/crates/citronway/src/gateway/run.rs
+++ b/crates/citronway/src/gateway/run.rs
@@ -14,7 +14,7 @@
 
 use crate::gateway::metrics::Metrics;
 use crate::gateway::ready::Ready;
-use crate::gateway::traffic::{Stop, Told};
+use crate::gateway::traffic::{ControlSenders, Stop};
 use crate::gateway::{control, traffic};
 use crate::logs;
 
@@ -127,7 +127,7 @@
     let ready = Ready::default();
     let rank = citronway_core::gateway::pace::rank_of(&cfg.instance);
     let (view_tx, view_rx) = watch::channel(View::nothing(cfg.zone.clone(), rank));
-    let (seen_tx, seen_rx) = mpsc::channel(SEEN_RING);
+    let (report_tx, seen_rx) = mpsc::channel(SEEN_RING);
     let (trials_tx, trials_rx) = mpsc::channel(TRIALS_RING);
     let (cold_tx, cold_rx) = mpsc::channel(COLD_RING);
     let (stop_tx, stop_rx) = watch::channel(Stop::No);
@@ -147,8 +147,8 @@
     };
     let traffic_cfg = cfg.clone();
     let metrics = Metrics::default();
-    let told = Told {
-        seen: seen_tx,
+    let told = ControlSenders {
+        reports: report_tx,
         trials: trials_tx,
         cold: cold_tx,
     };
@@ -161,9 +161,9 @@
     // Each duty ends with the other, since the rings between them close.
     let controlled = catch_unwind(AssertUnwindSafe(|| runtime.block_on(control.run())));
     let controlled = controlled.map(|ended| ended.map_err(start("control")));
-    let controlled = duty_ended("control", controlled);
+    let controlled = finish_duty("control", controlled);
     log::info!("instance stops");
-    let served = duty_ended("traffic", handle.join());
+    let served = finish_duty("traffic", handle.join());
     logs::flush();
     controlled.and(served).map(|()| ExitCode::SUCCESS)
 }
@@ -173,7 +173,7 @@
 /// # Errors
 ///
 /// When the duty ended by an error or a panic.
-pub fn duty_ended(
+pub fn finish_duty(
     duty: &'static str,
     ended: thread::Result<Result<(), Error>>,
 ) -> Result<(), Error> {
@@ -190,7 +190,7 @@
 fn traffic_thread(
     cfg: &InstanceSettings,
     view: watch::Receiver<View>,
-    told: Told,
+    told: ControlSenders,
     stop: watch::Receiver<Stop>,
     metrics: Metrics,
 ) -> Result<(), Error> {
--- a/crates/citronway/src/gateway/traffic/asks.rs
+++ b/crates/citronway/src/gateway/traffic/asks.rs
@@ -7,8 +7,8 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-use super::cold::ColdAsk;
-use super::trial::{TrialAsk, TrialEvent};
+use super::cold::ColdQuery;
+use super::trial::{TrialEvent, TrialQuery};
 
 /// Time for an answer about a cold endpoint; without one it gets nothing.
 ///
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub(super) struct Asks {
     pub trials: mpsc::Sender<TrialEvent>,
-    pub cold: mpsc::Sender<ColdAsk>,
+    pub cold: mpsc::Sender<ColdQuery>,
 }
 
 impl Asks {
@@ -36,7 +36,7 @@
         limit_ms: u64,
     ) -> TrialGrant {
         let (reply, granted) = oneshot::channel();
-        let ask = TrialAsk {
+        let ask = TrialQuery {
             number,
             work,
             expected_ms,
@@ -67,7 +67,7 @@
         let busy = ColdGrant::Busy {
             for_ms: UNANSWERED_MS,
         };
-        let ask = ColdAsk { number, req, reply };
+        let ask = ColdQuery { number, req, reply };
         if let Err(e) = self.cold.try_send(ask) {
             log::warn!(cause = e.to_string(); "a request about a cold endpoint was dropped");
             return busy;
--- a/crates/citronway/src/gateway/traffic/cold.rs
+++ b/crates/citronway/src/gateway/traffic/cold.rs
@@ -18,7 +18,7 @@
 
 /// A request about a cold endpoint.
 #[derive(Debug)]
-pub struct ColdAsk {
+pub struct ColdQuery {
     /// Its number within the process.
     pub number: u64,
     /// What is asked.
@@ -48,7 +48,7 @@
             patience_ms,
         };
         let grant = self.state.asks.cold(self.state.ticket(), req).await;
-        self.state.metrics.cold(&grant);
+        self.state.metrics.count_cold_request(&grant);
         match grant {
             ColdGrant::Granted { after_ms: 0 } => true,
             ColdGrant::Granted { after_ms } => {
--- a/crates/citronway/src/gateway/traffic/ended.rs
+++ b/crates/citronway/src/gateway/traffic/ended.rs
@@ -44,5 +44,5 @@
 }
 
 fn look(address: SocketAddr) -> Look {
-    http_link::listening(address).boxed_local().shared()
+    http_link::probe_listener(address).boxed_local().shared()
 }
--- a/crates/citronway/src/gateway/traffic/forwarding.rs
+++ b/crates/citronway/src/gateway/traffic/forwarding.rs
@@ -13,7 +13,7 @@
 use citronway_core::gateway::routes::{Repeat, Route};
 use citronway_core::ids::EndpointStart;
 use citronway_core::time::Mono;
-use citronway_platform::exchange::{self, CallerWords, Meaning};
+use citronway_platform::exchange::{self, AnswerKind, RequestMetadata};
 use http::{Method, Request, Uri};
 
 use super::open_requests::{OpenRequest, Stage};
@@ -23,7 +23,7 @@
 use super::suspicion::Look;
 use super::trial::Trial;
 use crate::clock;
-use crate::gateway::http_link::{self, Answer, CallError, Link, Settled};
+use crate::gateway::http_link::{self, Answer, CallError, ConnectMode, Link};
 use crate::gateway::metrics::Class;
 
 /// Time under which a request is not sent any more, in milliseconds: it would reach
@@ -56,7 +56,7 @@
             *req.uri_mut() = uri;
         }
         let mut headers = self.headers.clone();
-        exchange::address(&mut headers, endpoint, left_ms);
+        exchange::set_target_headers(&mut headers, endpoint, left_ms);
         *req.headers_mut() = headers;
         req
     }
@@ -66,7 +66,7 @@
 pub(super) struct Forwarding<'a> {
     pub state: &'a Rc<State>,
     pub route: &'a Route,
-    pub words: &'a CallerWords,
+    pub words: &'a RequestMetadata,
     /// Where it stands; what it is told at a stop rests on it.
     pub open: &'a OpenRequest,
     pub message: Message,
@@ -122,7 +122,7 @@
             let placed = clock::mono();
             let waited_ms = placed.since(self.job.arrived);
             if self.sends == 0 {
-                self.state.metrics.placed(class, waited_ms);
+                self.state.metrics.record_wait(class, waited_ms);
             }
             self.open.goes_to(placed, &choice);
             let in_flight = self.state.in_flight(&choice);
@@ -196,7 +196,7 @@
     /// Takes that the endpoint may have run it; none if it is to be sent again.
     async fn in_doubt(&mut self, now: Mono, choice: Choice, doubt: Doubt) -> Option<Outcome> {
         let crashed = match doubt {
-            Doubt::Broken | Doubt::Cut => self.look_at(&choice).await,
+            Doubt::Broken | Doubt::Truncated => self.look_at(&choice).await,
             Doubt::Foreign | Doubt::Silent => Look::NotCrashed,
         };
         match doubt {
@@ -204,7 +204,7 @@
                 self.state.reset(&choice.endpoint);
                 self.note_turned_away(&choice);
             }
-            Doubt::Foreign | Doubt::Silent | Doubt::Cut => {
+            Doubt::Foreign | Doubt::Silent | Doubt::Truncated => {
                 self.state.refused(&choice.endpoint);
             }
         }
@@ -274,11 +274,11 @@
         Some(Outcome::Answered(answer))
     }
 
-    fn refused_by(&self, choice: &Choice, meaning: Meaning) {
+    fn refused_by(&self, choice: &Choice, meaning: AnswerKind) {
         match (meaning, choice.fence) {
-            (Meaning::Misdirected, Some(fence)) => self.state.not_held(&self.job, fence),
-            (Meaning::Misdirected, None) => self.state.gone(&choice.endpoint),
-            (Meaning::Full, _) => {
+            (AnswerKind::Misdirected, Some(fence)) => self.state.not_held(&self.job, fence),
+            (AnswerKind::Misdirected, None) => self.state.gone(&choice.endpoint),
+            (AnswerKind::Full, _) => {
                 self.state.refused(&choice.endpoint);
                 self.note_turned_away(choice);
             }
@@ -345,27 +345,31 @@
         let limit = Duration::from_millis(patience_ms);
         match tokio::time::timeout(limit, self.exchange(choice)).await {
             Ok(Ok(Exchanged { meaning, answer })) => match meaning {
-                Meaning::Ran => {
+                AnswerKind::Ran => {
                     self.state.answered(choice, self.job.key);
                     if choice.fence.is_none() {
-                        let load = exchange::load(&answer.headers);
+                        let load = exchange::endpoint_load(&answer.headers);
                         self.state.load_told(&self.job, load);
                     }
                     if !answer.status.is_server_error() {
                         self.clear_suspicion();
                         let took = clock::mono().since(started);
-                        self.state.metrics.served(Class::of(self.route), took);
+                        self.state
+                            .metrics
+                            .record_service_time(Class::of(self.route), took);
                         let bytes = answer.body.len();
                         let route = &self.route.name;
                         self.state.served(route, &choice.endpoint, took, bytes);
                     }
                     Sent::Answer(answer)
                 }
-                Meaning::Full | Meaning::Misdirected | Meaning::NotRun => Sent::Refused(meaning),
-                Meaning::Foreign => Sent::Unknown(Doubt::Foreign),
+                AnswerKind::Full | AnswerKind::Misdirected | AnswerKind::NotRun => {
+                    Sent::Refused(meaning)
+                }
+                AnswerKind::Foreign => Sent::Unknown(Doubt::Foreign),
             },
             Ok(Err(CallError::Reset)) => Sent::Nowhere(Unsent::Reset),
-            Ok(Err(e)) if e.nothing_sent() => Sent::Nowhere(Unsent::NoConnection),
+            Ok(Err(e)) if e.is_unsent() => Sent::Nowhere(Unsent::NoConnection),
             Ok(Err(CallError::Timeout)) | Err(_) if patience_ms < left_ms => {
                 Sent::Unknown(Doubt::Silent)
             }
@@ -374,7 +378,7 @@
                 Sent::Nowhere(Unsent::NoConnection)
             }
             Ok(Err(CallError::Timeout)) | Err(_) => Sent::TimedOut,
-            Ok(Err(CallError::Cut(_))) => Sent::Unknown(Doubt::Cut),
+            Ok(Err(CallError::Truncated(_))) => Sent::Unknown(Doubt::Truncated),
             Ok(Err(_)) => Sent::Unknown(Doubt::Broken),
         }
     }
@@ -413,9 +417,9 @@
             }
             sent => sent?,
         };
-        let meaning = exchange::meaning(self.words.id.as_ref(), head.status(), head.headers());
-        let answer = http_link::read(head).await?;
-        if meaning != Meaning::Foreign {
+        let meaning = exchange::answer_kind(self.words.id.as_ref(), head.status(), head.headers());
+        let answer = http_link::read_answer(head).await?;
+        if meaning != AnswerKind::Foreign {
             let mut pool = self.state.pool.borrow_mut();
             pool.put(clock::mono(), choice, link, &answer.headers);
         }
@@ -436,16 +440,16 @@
 
     async fn open(&self, choice: &Choice) -> Result<Link, CallError> {
         self.state.pool.borrow_mut().count_opened();
-        let settled = match self.job.repeat {
-            Repeat::Idempotent => Settled::AtOnce,
-            Repeat::AtMostOnce => Settled::AfterLook,
+        let mode = match self.job.repeat {
+            Repeat::Idempotent => ConnectMode::Immediate,
+            Repeat::AtMostOnce => ConnectMode::AfterResetCheck,
         };
-        Link::open(choice.address, settled).await
+        Link::open(choice.address, mode).await
     }
 }
 
 /// An answer and what it means for the request.
 struct Exchanged {
-    meaning: Meaning,
+    meaning: AnswerKind,
     answer: Answer,
 }
--- a/crates/citronway/src/gateway/traffic/mod.rs
+++ b/crates/citronway/src/gateway/traffic/mod.rs
@@ -33,8 +33,8 @@
 
 pub use state::Stop;
 
-pub use cold::ColdAsk;
-pub use seen::{Seen, Told};
+pub use cold::ColdQuery;
+pub use seen::{ControlSenders, TrafficReport};
 pub use trial::TrialEvent;
 
 /// Pause after a connection could not be taken, as when descriptors run out.
@@ -58,7 +58,7 @@
 pub async fn serve(
     cfg: &InstanceSettings,
     view: watch::Receiver<View>,
-    told: Told,
+    told: ControlSenders,
     stop: watch::Receiver<Stop>,
     metrics: Metrics,
 ) -> io::Result<()> {
@@ -71,7 +71,7 @@
     let mut parts = JoinSet::new();
     parts.spawn_local(follow_view(Rc::clone(&state)));
     parts.spawn_local(pump(Rc::clone(&state)));
-    let seen = told.seen;
+    let seen = told.reports;
     parts.spawn_local(account(Rc::clone(&state), seen.clone()));
     let drained = connection::drained(&state, stop, cfg.grace_ms);
     tokio::pin!(drained);
@@ -103,7 +103,7 @@
 ///
 /// Failure guarded against: the last request of an instance that stops ends with a crash of its
 /// endpoint, and nobody else hears of it.
-fn tell_last(state: &State, seen: &mpsc::Sender<Seen>) {
+fn tell_last(state: &State, seen: &mpsc::Sender<TrafficReport>) {
     if let Err(e) = seen.try_send(state.account()) {
         log::warn!(cause = e.to_string(); "the last account of the traffic was dropped");
     }
@@ -143,7 +143,7 @@
     }
 }
 
-async fn account(state: Rc<State>, seen: mpsc::Sender<Seen>) {
+async fn account(state: Rc<State>, seen: mpsc::Sender<TrafficReport>) {
     let mut ticks = interval(SEEN_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
--- a/crates/citronway/src/gateway/traffic/open_requests.rs
+++ b/crates/citronway/src/gateway/traffic/open_requests.rs
@@ -122,7 +122,7 @@
 impl OpenRequests {
     pub(super) fn new(metrics: Metrics) -> Self {
         for stage in Stage::ALL {
-            metrics.tells_of_stage(stage.word());
+            metrics.register_stage(stage.word());
         }
         Self {
             metrics,
@@ -166,7 +166,7 @@
     /// Shows in the metrics how many stand where.
     pub(super) fn show_counts(&self) {
         for (stage, count) in Stage::ALL.into_iter().zip(self.counts()) {
-            self.metrics.unanswered(stage.word(), count);
+            self.metrics.set_unanswered(stage.word(), count);
         }
     }
 
@@ -207,7 +207,7 @@
             self.request.log_end(now, Level::Error, UNANSWERED);
             return;
         }
-        self.all.metrics.caller_left(stage.word());
+        self.all.metrics.count_caller_left(stage.word());
         let message = "caller left before its answer";
         self.request.log_end(now, Level::Info, message);
     }
--- a/crates/citronway/src/gateway/traffic/outcome.rs
+++ b/crates/citronway/src/gateway/traffic/outcome.rs
@@ -14,7 +14,7 @@
 use super::state::State;
 use crate::clock;
 use crate::gateway::http_link::Answer;
-use crate::gateway::metrics::{Class, Ended};
+use crate::gateway::metrics::{Class, OutcomeKind};
 
 /// Time to come back where nothing better is known, in milliseconds.
 pub(super) const DEFAULT_RETRY_MS: u64 = 200;
@@ -38,14 +38,14 @@
 
 impl Outcome {
     /// Label for metrics.
-    const fn ended(&self) -> Ended {
+    const fn ended(&self) -> OutcomeKind {
         match self {
-            Self::Answered(_) => Ended::Answered,
-            Self::NotRun(refusal) => Ended::NotRun(refusal.reason),
-            Self::Harmful(_) => Ended::NotRun(RefusalReason::CrashesEndpoints),
-            Self::Unknown(reason, _) => Ended::MayHaveRun(*reason),
-            Self::TimedOut => Ended::MayHaveRun(DoubtReason::Timeout),
-            Self::Rejected(..) => Ended::Rejected,
+            Self::Answered(_) => OutcomeKind::Answered,
+            Self::NotRun(refusal) => OutcomeKind::NotRun(refusal.reason),
+            Self::Harmful(_) => OutcomeKind::NotRun(RefusalReason::CrashesEndpoints),
+            Self::Unknown(reason, _) => OutcomeKind::MayHaveRun(*reason),
+            Self::TimedOut => OutcomeKind::MayHaveRun(DoubtReason::Timeout),
+            Self::Rejected(..) => OutcomeKind::Rejected,
         }
     }
 }
@@ -74,7 +74,7 @@
     let (status, headers, body) = match outcome {
         Outcome::Answered(answer) => (
             answer.status,
-            exchange::returned(&answer.headers),
+            exchange::returned_headers(&answer.headers),
             answer.body,
         ),
         Outcome::NotRun(refusal) => {
@@ -114,7 +114,7 @@
     cause: &'static str,
 ) -> (StatusCode, http::HeaderMap, Bytes) {
     let mut headers = http::HeaderMap::new();
-    exchange::own_answer(&mut headers, id, retry_after_ms);
+    exchange::set_answer_headers(&mut headers, id, retry_after_ms);
     (status, headers, Bytes::from_static(cause.as_bytes()))
 }
 
@@ -133,7 +133,7 @@
 ) {
     let request = shown_id(id);
     let ms = clock::mono().since(arrived);
-    state.metrics.ended(class, outcome.ended(), ms);
+    state.metrics.record_outcome(class, outcome.ended(), ms);
     match outcome {
         Outcome::Answered(answer) => {
             let status = answer.status.as_u16();
--- a/crates/citronway/src/gateway/traffic/request.rs
+++ b/crates/citronway/src/gateway/traffic/request.rs
@@ -5,7 +5,7 @@
 
 use citronway_core::gateway::admission::{Job, RefusalReason};
 use citronway_core::time::Mono;
-use citronway_platform::exchange::{self, CallerWords};
+use citronway_platform::exchange::{self, RequestMetadata};
 use http::request::Parts;
 use http::{Request, Response, StatusCode};
 use http_body_util::{BodyExt as _, LengthLimitError, Limited};
@@ -37,7 +37,7 @@
     let open = &done.open.request;
     let id = exchange::request_id(&head.headers);
     open.name(id);
-    let words = match exchange::read_caller(&head) {
+    let words = match exchange::read_request_metadata(&head) {
         Ok(words) => words,
         Err(e) => {
             let request = outcome::shown_id(id);
@@ -62,7 +62,7 @@
 struct Taken<'a> {
     arrived: Mono,
     head: &'a Parts,
-    words: &'a CallerWords,
+    words: &'a RequestMetadata,
 }
 
 async fn serve(
@@ -148,7 +148,7 @@
         message: Message {
             method: head.method.clone(),
             uri: head.uri.clone(),
-            headers: exchange::forwarded(&head.headers),
+            headers: exchange::forwarded_headers(&head.headers),
             body,
         },
         job,
--- a/crates/citronway/src/gateway/traffic/seen.rs
+++ b/crates/citronway/src/gateway/traffic/seen.rs
@@ -4,25 +4,25 @@
 use citronway_core::gateway::report;
 use tokio::sync::mpsc;
 
-use super::cold::ColdAsk;
+use super::cold::ColdQuery;
 use super::trial::TrialEvent;
 
 /// Rings by which the traffic tells and asks `control`.
 #[derive(Debug)]
-pub struct Told {
+pub struct ControlSenders {
     /// What was seen.
-    pub seen: mpsc::Sender<Seen>,
+    pub reports: mpsc::Sender<TrafficReport>,
     /// Trials of work under suspicion.
     pub trials: mpsc::Sender<TrialEvent>,
     /// Sends to cold endpoints.
-    pub cold: mpsc::Sender<ColdAsk>,
+    pub cold: mpsc::Sender<ColdQuery>,
 }
 
 /// Account of the last period.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct TrafficReport {
     /// Use of endpoints and keys.
-    pub looked: report::Seen,
+    pub usage: report::Seen,
     /// Usual time of work at each service, in milliseconds.
     pub work_ms: Vec<(citronway_core::ids::ServiceName, f64)>,
     /// What was seen of work that may crash endpoints.
--- a/crates/citronway/src/gateway/traffic/sent.rs
+++ b/crates/citronway/src/gateway/traffic/sent.rs
@@ -2,7 +2,7 @@
 
 use citronway_core::gateway::admission::Choice;
 use citronway_core::gateway::crashes::Fingerprint;
-use citronway_platform::exchange::{CallerWords, Meaning};
+use citronway_platform::exchange::{AnswerKind, RequestMetadata};
 
 use super::outcome::shown_id;
 use crate::gateway::http_link::Answer;
@@ -15,7 +15,7 @@
     /// The endpoint was silent for longer than another should be kept waiting.
     Silent,
     /// The answer broke off.
-    Cut,
+    Truncated,
     /// The connection broke.
     Broken,
 }
@@ -26,7 +26,7 @@
         match self {
             Self::Foreign => "the answer belongs to another request",
             Self::Silent => "the endpoint was silent",
-            Self::Cut => "the answer is not whole",
+            Self::Truncated => "the answer is not whole",
             Self::Broken => "the connection to the endpoint broke",
         }
     }
@@ -45,7 +45,7 @@
     /// The endpoint's answer.
     Answer(Answer),
     /// It has not run there.
-    Refused(Meaning),
+    Refused(AnswerKind),
     /// Nothing reached the endpoint.
     Nowhere(Unsent),
     /// Nothing was tried: no time was left to work.
@@ -58,7 +58,7 @@
 
 /// Logs a send, `ms` after the request's arrival; `work` is told where it may have run.
 pub(super) fn log_send(
-    words: &CallerWords,
+    words: &RequestMetadata,
     choice: &Choice,
     sent: &Sent,
     sends: u32,
--- a/crates/citronway/src/gateway/traffic/state/mod.rs
+++ b/crates/citronway/src/gateway/traffic/state/mod.rs
@@ -23,7 +23,7 @@
 use super::ended::Looks;
 use super::open_requests::OpenRequests;
 use super::pool::Pool;
-use super::seen::Seen;
+use super::seen::TrafficReport;
 use crate::clock;
 use crate::gateway::metrics::Metrics;
 use guards::Waiting;
@@ -373,7 +373,7 @@
     }
 
     /// Account of what was seen since the last one.
-    pub(super) fn account(&self) -> Seen {
+    pub(super) fn account(&self) -> TrafficReport {
         self.pool.borrow_mut().prune(clock::mono());
         let in_flight = self
             .admission
@@ -381,8 +381,8 @@
             .uses()
             .map(|(_, count, _)| count)
             .sum();
-        self.metrics.load(self.waiting(), in_flight);
-        self.metrics.connections(self.open_connections());
+        self.metrics.set_load(self.waiting(), in_flight);
+        self.metrics.set_connections(self.open_connections());
         self.open.show_counts();
         let mut answers = std::mem::take(&mut *self.answers.borrow_mut());
         let mut endpoints: Vec<_> = self
@@ -418,8 +418,8 @@
         let work_ms = work
             .into_iter()
             .map(|(service, (sum, count))| (service, sum / count));
-        Seen {
-            looked: report::Seen {
+        TrafficReport {
+            usage: report::Seen {
                 endpoints,
                 keys: samples.collect(),
             },
@@ -435,7 +435,7 @@
 
     /// Notes that an endpoint crashed while it had the work.
     pub(super) fn crashed(&self, work: Fingerprint, endpoint: &EndpointStart) {
-        self.metrics.crashed();
+        self.metrics.count_crash();
         let endpoint = EndpointTag::of(endpoint);
         self.signs.borrow_mut().push(Sign::Crash { work, endpoint });
         self.crash_seen.notify_one();
--- a/crates/citronway/src/gateway/traffic/suspicion.rs
+++ b/crates/citronway/src/gateway/traffic/suspicion.rs
@@ -128,7 +128,7 @@
         let expected_ms = self.job.expected_ms();
         let grant = self.state.asks.trial(number, work, expected_ms, limit_ms);
         let grant = grant.await;
-        self.state.metrics.trial(&grant);
+        self.state.metrics.count_trial_request(&grant);
         let TrialGrant::Busy { for_ms } = grant else {
             self.trial = Some(trial);
             return None;
--- a/crates/citronway/src/gateway/traffic/trial.rs
+++ b/crates/citronway/src/gateway/traffic/trial.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub enum TrialEvent {
     /// May a copy be sent?
-    Request(TrialAsk),
+    Request(TrialQuery),
     /// A copy that was granted is done.
     Ended {
         /// Number of the request for it.
@@ -25,7 +25,7 @@
 
 /// A request for a trial.
 #[derive(Debug)]
-pub struct TrialAsk {
+pub struct TrialQuery {
     /// Its number within the process.
     pub number: u64,
     /// Work that is to be tried.
--- a/crates/citronway/tests/duty_failures.rs
+++ b/crates/citronway/tests/duty_failures.rs
@@ -8,7 +8,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::thread;
 
-use citronway::gateway::{Error, duty_ended};
+use citronway::gateway::{Error, finish_duty};
 use citronway::logs::log_panics;
 use googletest::prelude::*;
 use log::{Level, Log, Metadata, Record};
@@ -49,7 +49,7 @@
     let handle = duty
         .spawn(|| -> std::result::Result<(), Error> { panic!("index {} out of range", 7) })
         .expect("a thread");
-    let ended = duty_ended("traffic", handle.join());
+    let ended = finish_duty("traffic", handle.join());
 
     let shown = ended.map_err(|e| e.to_string());
     let cause = "the traffic duty panicked: index 7 out of range";
@@ -62,5 +62,5 @@
     expect_that!(*lines, contains(eq(&failed)));
     drop(lines);
 
-    expect_that!(duty_ended("control", Ok(Ok(()))), ok(eq(&())));
+    expect_that!(finish_duty("control", Ok(Ok(()))), ok(eq(&())));
 }
