--- a/crates/citronway/tests/gateway_crashes.rs
+++ b/crates/citronway/tests/gateway_crashes.rs
@@ -6,7 +6,7 @@
 
 use citronway_standin::shared::{FencedEndpoint, StoreFault};
 use gateway_support::crashing::{BAD, Service, call, crash};
-use gateway_support::{Deployment, Instance, mute_deployment, until};
+use gateway_support::{Deployment, Instance, silent_deployment, until};
 use googletest::prelude::*;
 use serde_json::{Value, json};
 
@@ -98,7 +98,7 @@
 fn logs_tell_which_tries_are_the_same_work_and_which_endpoint_ended() {
     let deployment = Deployment::new();
     let mut console = Service::console(&deployment);
-    let mut instances = ["one", "two"].map(|name| deployment.unread_instance(name));
+    let mut instances = ["one", "two"].map(|name| deployment.instance_with_piped_logs(name));
     let logs = instances.each_mut().map(Instance::logs);
     for instance in &instances {
         until("the instance is ready", || instance.is_ready());
@@ -269,7 +269,7 @@
 /// time ends, and nothing shows that it has ended.
 #[gtest]
 fn silent_endpoints_are_no_crashes() {
-    let (deployment, _mute) = mute_deployment();
+    let (deployment, _mute) = silent_deployment();
     let instance = deployment.ready_instance("one");
     std::thread::scope(|scope| {
         let send = |id| call(&instance, "POST /order/1", id);
@@ -293,7 +293,7 @@
 fn planned_stops_are_no_crashes() {
     let deployment = Deployment::new();
     deployment.unlist(&deployment.c);
-    let mut instance = deployment.unread_instance("one");
+    let mut instance = deployment.instance_with_piped_logs("one");
     let logs = instance.logs();
     until("the instance is ready", || instance.is_ready());
     for n in 0..=KNOWN_AFTER {
@@ -357,7 +357,7 @@
     let deployment = Deployment::new();
     let unreadable = json!({"key": "none", "refused": 7});
     deployment.store.put("citronway", "crashes", &unreadable);
-    let mut instance = deployment.unread_instance("one");
+    let mut instance = deployment.instance_with_piped_logs("one");
     let logs = instance.logs();
     until("the instance is ready", || instance.is_ready());
     let line = logs.line("row cannot be used");
--- a/crates/citronway/tests/gateway_evacuation.rs
+++ b/crates/citronway/tests/gateway_evacuation.rs
@@ -134,7 +134,7 @@
 #[gtest]
 fn a_row_that_cannot_be_read_changes_nothing() {
     let zones = Zones::start();
-    let mut instance = zones.deployment.unread_instance("one");
+    let mut instance = zones.deployment.instance_with_piped_logs("one");
     let logs = instance.logs();
     until("the instance is ready", || instance.is_ready());
     serves_all(&instance, "before");
--- a/crates/citronway/tests/gateway_path.rs
+++ b/crates/citronway/tests/gateway_path.rs
@@ -50,7 +50,7 @@
 
 #[gtest]
 fn without_a_configuration_a_request_is_not_run_and_not_unknown() {
-    let deployment = Deployment::bare();
+    let deployment = Deployment::unconfigured();
     let instance = deployment.instance("one");
     until("the instance listens", || {
         instance
@@ -302,7 +302,7 @@
 #[gtest]
 fn logs_that_nobody_reads_stop_no_request() {
     let deployment = Deployment::new();
-    let instance = deployment.unread_instance("one");
+    let instance = deployment.instance_with_piped_logs("one");
     until("the instance is ready", || instance.is_ready());
     for n in 0..1_000 {
         let reply = instance.call("GET /look/1", &format!("n{n}"), KEYS[0], "");
--- a/crates/citronway/tests/gateway_sight.rs
+++ b/crates/citronway/tests/gateway_sight.rs
@@ -11,7 +11,7 @@
 use std::thread;
 
 use gateway_support::{
-    Deployment, Instance, Logs, MuteEndpoint, exchange, head, mute_deployment, until,
+    Deployment, Instance, Logs, SilentEndpoint, exchange, head, silent_deployment, until,
 };
 use googletest::prelude::*;
 use serde_json::json;
@@ -23,15 +23,15 @@
 struct Stuck {
     // Each ends when it is dropped.
     _deployment: Deployment,
-    mute: MuteEndpoint,
+    mute: SilentEndpoint,
     instance: Instance,
     logs: Logs,
 }
 
 impl Stuck {
     fn start() -> Self {
-        let (deployment, mute) = mute_deployment();
-        let mut instance = deployment.unread_instance("one");
+        let (deployment, mute) = silent_deployment();
+        let mut instance = deployment.instance_with_piped_logs("one");
         let logs = instance.logs();
         until("the instance is ready", || instance.is_ready());
         Self {
--- a/crates/citronway/tests/gateway_stop.rs
+++ b/crates/citronway/tests/gateway_stop.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 use gateway_support::{
-    Deployment, Instance, MuteEndpoint, Reply, exchange, head, mute_deployment, route, until,
+    Deployment, Instance, Reply, SilentEndpoint, exchange, head, route, silent_deployment, until,
 };
 use googletest::prelude::*;
 use serde_json::json;
@@ -35,7 +35,7 @@
 /// Sends a request and returns once the mute endpoint has it.
 fn call(
     instance: &Instance,
-    mute: &MuteEndpoint,
+    mute: &SilentEndpoint,
     start: &'static str,
 ) -> JoinHandle<Option<Reply>> {
     let callers = instance.callers;
@@ -56,7 +56,7 @@
 
 /// What a caller gets whose request is at the mute endpoint while its instance stops.
 fn told_at_the_end(start: &'static str) -> Option<u16> {
-    let (deployment, mute) = mute_deployment();
+    let (deployment, mute) = silent_deployment();
     let mut instance = deployment.ready_instance("one");
     let call = call(&instance, &mute, start);
     instance.terminate();
@@ -83,7 +83,7 @@
 /// A key whose endpoints are gone: its request waits at the instance and reaches nobody.
 #[gtest]
 fn what_waits_when_an_instance_stops_is_told_that_it_has_not_run() {
-    let deployment = Deployment::bare();
+    let deployment = Deployment::unconfigured();
     let mut patient = route("patient", "/patient/", "non_idempotent", "batch");
     patient["timeoutS"] = json!(11.0);
     deployment.configure(2, &json!([patient]));
@@ -108,7 +108,7 @@
 }
 
 /// Has an instance whose grace is now 2 s stop, with a request at the mute endpoint.
-fn expect_short_stop(mut instance: Instance, mute: &MuteEndpoint) {
+fn expect_short_stop(mut instance: Instance, mute: &SilentEndpoint) {
     let call = call(&instance, mute, "POST /patient/1");
     instance.terminate();
     let begun = Instant::now();
@@ -124,8 +124,8 @@
 /// killed in the middle of it, and what was at endpoints had no answer.
 #[gtest]
 fn a_grace_that_was_shortened_holds_for_the_next_stop() {
-    let (deployment, mute) = mute_deployment();
-    let mut instance = deployment.unread_instance("one");
+    let (deployment, mute) = silent_deployment();
+    let mut instance = deployment.instance_with_piped_logs("one");
     until("the instance is ready", || instance.is_ready());
     deployment.set_grace("one", 2);
     instance.hang_up();
@@ -138,7 +138,7 @@
 /// was at endpoints had an answer.
 #[gtest]
 fn a_grace_that_was_shortened_without_a_signal_holds_for_the_next_stop() {
-    let (deployment, mute) = mute_deployment();
+    let (deployment, mute) = silent_deployment();
     let instance = deployment.ready_instance("one");
     deployment.set_grace("one", 2);
     expect_short_stop(instance, &mute);
@@ -149,7 +149,7 @@
 /// gave its answers and ended in the same moment, and nobody got one.
 #[gtest]
 fn an_instance_that_was_paused_across_its_grace_answers_before_it_ends() {
-    let (deployment, mute) = mute_deployment();
+    let (deployment, mute) = silent_deployment();
     let mut instance = deployment.ready_instance("one");
     let call = call(&instance, &mute, "POST /patient/1");
     instance.terminate();
--- a/crates/citronway/tests/gateway_support/crashing.rs
+++ b/crates/citronway/tests/gateway_support/crashing.rs
@@ -4,7 +4,7 @@
 
 use citronway_standin::shared::FencedEndpoint;
 
-use super::{Deployment, Instance, Reply, WAIT_MS, exchange_by, head, until};
+use super::{Deployment, Instance, Reply, WAIT_MS, exchange_from, head, until};
 
 /// End of the path of a request that crashes endpoints.
 pub const BAD: &str = "bad";
@@ -82,7 +82,7 @@
     let headers = format!("X-Request-Id: {name}-{id}\r\nX-Shard-Key: {KEY}\r\n");
     let head = head(start, &headers, WAIT_MS, 0);
     let source = Ipv4Addr::new(127, 0, 0, 1 + u8::try_from(id % 7).expect("small"));
-    exchange_by(source, instance.callers, &head).expect("an answer")
+    exchange_from(source, instance.callers, &head).expect("an answer")
 }
 
 /// Sends work that crashes endpoints, one try after the other at all instances in turn, each
--- a/crates/citronway/tests/gateway_support/mod.rs
+++ b/crates/citronway/tests/gateway_support/mod.rs
@@ -48,7 +48,7 @@
 
 impl Deployment {
     /// Starts store and endpoints, which list themselves; no configuration yet.
-    pub fn bare() -> Self {
+    pub fn unconfigured() -> Self {
         let folder = std::env::temp_dir().join(format!("citronway-{}", uuid::Uuid::new_v4()));
         std::fs::create_dir_all(&folder).expect("a folder for settings");
         let deployment = Self {
@@ -66,7 +66,7 @@
 
     /// The same with the first configuration.
     pub fn new() -> Self {
-        let deployment = Self::bare();
+        let deployment = Self::unconfigured();
         deployment.configure(2, &json!([]));
         deployment
     }
@@ -95,7 +95,7 @@
     }
 
     /// Starts an instance whose logs nobody reads.
-    pub fn unread_instance(&self, name: &str) -> Instance {
+    pub fn instance_with_piped_logs(&self, name: &str) -> Instance {
         self.start(name, self.store.address(), Stdio::piped())
     }
 
@@ -358,7 +358,7 @@
 }
 
 /// The same by an address of the caller's own.
-pub fn exchange_by(source: Ipv4Addr, address: SocketAddr, head: &str) -> Option<Reply> {
+pub fn exchange_from(source: Ipv4Addr, address: SocketAddr, head: &str) -> Option<Reply> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -389,12 +389,12 @@
 }
 
 /// An endpoint that takes connections and reads nothing from them.
-pub struct MuteEndpoint {
+pub struct SilentEndpoint {
     address: SocketAddr,
     taken: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl MuteEndpoint {
+impl SilentEndpoint {
     /// Starts it; its thread ends with the test process.
     pub fn start() -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port");
@@ -423,9 +423,9 @@
 
 /// A deployment with one endpoint for `console`, which takes connections and reads nothing,
 /// and with two routes to it that wait longer than an instance takes to stop.
-pub fn mute_deployment() -> (Deployment, MuteEndpoint) {
-    let deployment = Deployment::bare();
-    let mute = MuteEndpoint::start();
+pub fn silent_deployment() -> (Deployment, SilentEndpoint) {
+    let deployment = Deployment::unconfigured();
+    let mute = SilentEndpoint::start();
     deployment.unlist(&deployment.c);
     deployment
         .store
