--- a/crates/citronctl/src/replay.rs
+++ b/crates/citronctl/src/replay.rs
@@ -77,7 +77,7 @@
     match machine {
         Machine::Config => config(path, text),
         Machine::Dispatcher => outcome(path, dispatch::replay::replay(text)),
-        Machine::Hold => outcome(path, hold::world::replay(text)),
+        Machine::Hold => outcome(path, hold::simulation::replay(text)),
         Machine::Node => outcome(path, node::replay::replay(text)),
         Machine::Planner => outcome(path, placement::replay::replay(text)),
     }
--- a/crates/citronway-core/examples/hold_takeover.rs
+++ b/crates/citronway-core/examples/hold_takeover.rs
@@ -5,7 +5,7 @@
 use std::error::Error;
 
 use citronway_core::hold::HandOverReason;
-use citronway_core::hold::world::{Fault, Header, TimedFault, replay_script};
+use citronway_core::hold::simulation::{Fault, Header, TimedFault, replay_script};
 
 const SEEDS: u64 = 10_000;
 const LOSS_MS: u64 = 2_000;
--- a/crates/citronway-core/src/hold/events.rs
+++ b/crates/citronway-core/src/hold/events.rs
@@ -12,7 +12,7 @@
 /// Whether this instance reaches the endpoint, as its own probes tell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reach {
+pub enum EndpointReach {
     /// It has not tried.
     #[default]
     Unknown,
@@ -53,35 +53,35 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum HoldEvent {
-    /// See [`Hold::row`].
+    /// See [`Hold::on_row`].
     Row {
         /// Version of the row.
         version: Version,
         /// The row.
         row: DispatchRow,
     },
-    /// See [`Hold::read_done`].
+    /// See [`Hold::on_read_done`].
     ReadDone {
         /// Number of the read.
         read: u64,
         /// Its result.
         outcome: ReadOutcome,
     },
-    /// See [`Hold::write_done`].
+    /// See [`Hold::on_write_done`].
     WriteDone {
         /// Number of the write.
         write: u64,
         /// Its result.
         outcome: WriteOutcome,
     },
-    /// See [`Hold::message`].
+    /// See [`Hold::on_message`].
     Message {
         /// Sender.
         from: Session,
         /// The message.
         message: HoldMessage,
     },
-    /// See [`Hold::gone`].
+    /// See [`Hold::on_gone`].
     Gone {
         /// The session that is gone.
         session: Session,
@@ -98,7 +98,7 @@
         /// Sessions fit for a role, best first.
         candidates: Vec<Session>,
         /// Whether this instance reaches the endpoint.
-        reach: Reach,
+        reach: EndpointReach,
     },
 }
 
@@ -113,12 +113,12 @@
         /// The message.
         message: HoldMessage,
     },
-    /// Read the dispatch row; report with [`Hold::read_done`].
+    /// Read the dispatch row; report with [`Hold::on_read_done`].
     ReadRow {
         /// Number for the report.
         read: u64,
     },
-    /// Write the dispatch row once, without retry; report with [`Hold::write_done`].
+    /// Write the dispatch row once, without retry; report with [`Hold::on_write_done`].
     Write {
         /// Number for the report.
         write: u64,
@@ -157,11 +157,11 @@
     #[must_use]
     pub fn apply(&mut self, event: &HoldEvent, now: Now) -> Vec<HoldAction> {
         match event {
-            HoldEvent::Row { version, row } => self.row(row, *version, now),
-            HoldEvent::ReadDone { read, outcome } => self.read_done(*read, outcome, now),
-            HoldEvent::WriteDone { write, outcome } => self.write_done(*write, outcome, now),
-            HoldEvent::Message { from, message } => self.message(from, message, now),
-            HoldEvent::Gone { session } => self.gone(session, now),
+            HoldEvent::Row { version, row } => self.on_row(row, *version, now),
+            HoldEvent::ReadDone { read, outcome } => self.on_read_done(*read, outcome, now),
+            HoldEvent::WriteDone { write, outcome } => self.on_write_done(*write, outcome, now),
+            HoldEvent::Message { from, message } => self.on_message(from, message, now),
+            HoldEvent::Gone { session } => self.on_gone(session, now),
             HoldEvent::HandOver { reason, known } => self.hand_over(*reason, known, now),
             HoldEvent::Tick { candidates, reach } => self.tick(candidates, *reach, now),
         }
--- a/crates/citronway-core/src/hold/departures.rs
+++ b/crates/citronway-core/src/hold/gone_sessions.rs
@@ -19,12 +19,12 @@
 /// longer than the list's lag, or when a newer session of its instance answers
 /// under its address.
 #[derive(Debug, Clone, Default)]
-pub struct Departures {
+pub struct GoneSessions {
     watched: IndexMap<Session, Watched>,
     gone: IndexSet<Session>,
 }
 
-impl Departures {
+impl GoneSessions {
     /// Watches nobody yet.
     #[must_use]
     pub fn new() -> Self {
@@ -45,7 +45,7 @@
     /// Takes a list and the time at which its reading began; returns who is gone
     /// by it.
     #[must_use]
-    pub fn list(&mut self, list: &InstanceList, begun: Now) -> Vec<Session> {
+    pub fn on_instance_list(&mut self, list: &InstanceList, begun: Now) -> Vec<Session> {
         let mut gone = Vec::new();
         for (session, watched) in &mut self.watched {
             let shown = list
@@ -71,7 +71,7 @@
     /// Calls to one address must be reported in the order in which they were
     /// answered. A session known to be gone proves nothing about others.
     #[must_use]
-    pub fn greeted(&mut self, session: &Session) -> Vec<Session> {
+    pub fn on_handshake(&mut self, session: &Session) -> Vec<Session> {
         if self.gone.contains(session) {
             return Vec::new();
         }
@@ -87,7 +87,7 @@
     /// the one of its own instance, so that none of them may rewrite the rows and
     /// no key is ever served again.
     #[must_use]
-    pub fn greeted_self(&mut self, me: &Session) -> Vec<Session> {
+    pub fn on_own_handshake(&mut self, me: &Session) -> Vec<Session> {
         self.bury_predecessors(me)
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// All sessions that are gone, for a hold that is made later.
-    pub fn gone(&self) -> impl Iterator<Item = &Session> {
+    pub fn sessions(&self) -> impl Iterator<Item = &Session> {
         self.gone.iter()
     }
 
--- a/crates/citronway-core/src/hold/message.rs
+++ b/crates/citronway-core/src/hold/message.rs
@@ -1,7 +1,7 @@
 //! What a hold does with messages of other sessions.
 
 use super::events::HandOverReason;
-use super::{Handed, Hold, HoldAction, Promised, Reach};
+use super::{EndpointReach, Handed, Hold, HoldAction, Promised};
 use crate::ids::{Epoch, Session, Version};
 use crate::peer::{HoldMessage, KnownRequests};
 use crate::time::Now;
@@ -22,7 +22,12 @@
 impl Hold {
     /// Takes a message of another session.
     #[must_use]
-    pub fn message(&mut self, from: &Session, message: &HoldMessage, now: Now) -> Vec<HoldAction> {
+    pub fn on_message(
+        &mut self,
+        from: &Session,
+        message: &HoldMessage,
+        now: Now,
+    ) -> Vec<HoldAction> {
         let mut out = Vec::new();
         // What a dead session sent is no sign of life.
         if self.gone.contains(from) {
@@ -157,7 +162,7 @@
         }
         // An offer that came twice must not be taken up once declined: its
         // dispatcher may have gone on.
-        if self.left || self.reach == Reach::Lost || self.declined >= Some(epoch) {
+        if self.left || self.reach == EndpointReach::Lost || self.declined >= Some(epoch) {
             self.declined = self.declined.max(Some(epoch));
             out.push(self.refusal(from, epoch, NO_ROUND));
             return;
--- a/crates/citronway-core/src/hold/mod.rs
+++ b/crates/citronway-core/src/hold/mod.rs
@@ -9,11 +9,11 @@
 //! # How to drive it
 //!
 //! - Make a hold for every endpoint with [`Hold::new`] and feed it each row that
-//!   is read or heard of ([`Hold::row`]); lower versions are ignored.
+//!   is read or heard of ([`Hold::on_row`]); lower versions are ignored.
 //! - Call [`Hold::tick`] at least every 20 ms with the live sessions fit for a
 //!   role, best first, this one included, in the same order everywhere.
-//! - Pass on the endpoint's messages with [`Hold::message`], and report sessions
-//!   that [`Departures`] calls gone with [`Hold::gone`]; a hold also wants to hear
+//! - Pass on the endpoint's messages with [`Hold::on_message`], and report sessions
+//!   that [`GoneSessions`] calls gone with [`Hold::on_gone`]; a hold also wants to hear
 //!   of those that were gone before it was made.
 //! - Carry out the [`HoldAction`]s in order. Report each read and write once: a
 //!   timeout as [`ReadOutcome::Failed`] or `WriteOutcome::Unknown`, and
@@ -27,19 +27,19 @@
 //! - Never remove a dispatch row: a row made anew starts at epoch 1 with no
 //!   floor, and former dispatchers would not be on it.
 
-mod departures;
 mod dispatcher;
 mod events;
+mod gone_sessions;
 mod message;
 mod pending;
 mod settings;
+pub mod simulation;
 mod store;
 mod successor;
 mod tenure;
-pub mod world;
 
-pub use departures::Departures;
-pub use events::{HandOverReason, HoldAction, HoldEvent, Reach, ReadOutcome};
+pub use events::{EndpointReach, HandOverReason, HoldAction, HoldEvent, ReadOutcome};
+pub use gone_sessions::GoneSessions;
 use indexmap::{IndexMap, IndexSet};
 use pending::{PendingWrite, Reads};
 pub use settings::{HoldSettings, HoldSettingsBuilder};
@@ -101,7 +101,7 @@
     last_write: u64,
     reads: Reads,
     tenure: Option<Tenure>,
-    reach: Reach,
+    reach: EndpointReach,
     left: bool,
 }
 
@@ -130,7 +130,7 @@
             last_write: 0,
             reads: Reads::default(),
             tenure: None,
-            reach: Reach::Unknown,
+            reach: EndpointReach::Unknown,
             left: false,
         }
     }
@@ -164,7 +164,7 @@
     /// They need not be ranked for a hold that does not; in steady state that is
     /// every hold.
     #[must_use]
-    pub fn wants_candidates(&self, now: Now) -> bool {
+    pub fn needs_candidates(&self, now: Now) -> bool {
         if self.tenure.is_some() {
             return !self.list_is_complete(now);
         }
@@ -183,15 +183,15 @@
 
     /// Takes a row read from the store or heard from a peer.
     #[must_use]
-    pub fn row(&mut self, row: &DispatchRow, version: Version, now: Now) -> Vec<HoldAction> {
+    pub fn on_row(&mut self, row: &DispatchRow, version: Version, now: Now) -> Vec<HoldAction> {
         let mut out = Vec::new();
         self.learn(row, version, now, &mut out);
         out
     }
 
-    /// Takes the news that `session` is gone for good; see [`Departures`].
+    /// Takes the news that `session` is gone for good; see [`GoneSessions`].
     #[must_use]
-    pub fn gone(&mut self, session: &Session, now: Now) -> Vec<HoldAction> {
+    pub fn on_gone(&mut self, session: &Session, now: Now) -> Vec<HoldAction> {
         let mut out = Vec::new();
         if *session == self.me || !self.gone.insert(session.clone()) {
             return out;
@@ -206,9 +206,14 @@
     /// Lets time pass.
     ///
     /// `candidates` are live sessions fit for a role, best first. They may be
-    /// left out when [`Hold::wants_candidates`] says so for the same time.
+    /// left out when [`Hold::needs_candidates`] says so for the same time.
     #[must_use]
-    pub fn tick(&mut self, candidates: &[Session], reach: Reach, now: Now) -> Vec<HoldAction> {
+    pub fn tick(
+        &mut self,
+        candidates: &[Session],
+        reach: EndpointReach,
+        now: Now,
+    ) -> Vec<HoldAction> {
         let mut out = Vec::new();
         self.reach = reach;
         self.notice_pause(now);
--- a/crates/citronway-core/src/hold/world/faults.rs
+++ b/crates/citronway-core/src/hold/simulation/faults.rs
@@ -4,7 +4,7 @@
 use super::queue::Step;
 use super::run::World;
 use super::script::Fault;
-use crate::hold::{HandOverReason, HoldEvent, Reach};
+use crate::hold::{EndpointReach, HandOverReason, HoldEvent};
 use crate::ids::{InstanceName, Session};
 use crate::peer::KnownRequests;
 
@@ -156,7 +156,7 @@
             it.store_cut = false;
             it.delay_write_ms = 0;
             it.lose_answer = false;
-            it.reach = Reach::Reached;
+            it.reach = EndpointReach::Reached;
             self.resume(node);
         }
     }
--- a/crates/citronway-core/src/hold/world/mod.rs
+++ b/crates/citronway-core/src/hold/simulation/mod.rs
@@ -14,7 +14,7 @@
 mod store;
 mod watch;
 
-pub use outcome::{Acting, Broken, HoldOutcome, ReplayError};
+pub use outcome::{ActiveInterval, HoldOutcome, ReplayError, Violation};
 pub use script::{Fault, Header, TimedFault};
 
 /// Replays a trace given as JSON lines.
--- a/crates/citronway-core/src/hold/world/node.rs
+++ b/crates/citronway-core/src/hold/simulation/node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::hold::{Hold, HoldEvent, HoldSettings, Reach};
+use crate::hold::{EndpointReach, Hold, HoldEvent, HoldSettings};
 use crate::ids::{EndpointName, Epoch, Session, Version};
 use crate::time::{Mono, Now, Wall};
 
@@ -48,7 +48,7 @@
     pub clock: Clock,
     pub process: Process,
     pub store_cut: bool,
-    pub reach: Reach,
+    pub reach: EndpointReach,
     pub waiting: VecDeque<HoldEvent>,
     /// Delay of the next write, in milliseconds.
     pub delay_write_ms: u64,
@@ -66,7 +66,7 @@
             clock,
             process: Process::Running,
             store_cut: false,
-            reach: Reach::Unknown,
+            reach: EndpointReach::Unknown,
             waiting: VecDeque::new(),
             delay_write_ms: 0,
             lose_answer: false,
--- a/crates/citronway-core/src/hold/world/outcome.rs
+++ b/crates/citronway-core/src/hold/simulation/outcome.rs
@@ -7,7 +7,7 @@
 
 /// A time during which one session might act without a break.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Acting {
+pub struct ActiveInterval {
     /// The session.
     pub session: Session,
     /// Its epoch.
@@ -21,7 +21,7 @@
 /// A promise of the design that did not hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "broken", rename_all = "snake_case")]
-pub enum Broken {
+pub enum Violation {
     /// Two sessions might act at the same moment.
     TwoActing {
         /// When.
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HoldOutcome {
     /// Who might act, in order.
-    pub acting: Vec<Acting>,
+    pub acting: Vec<ActiveInterval>,
     /// Longest time in which nobody might act, in milliseconds.
     pub longest_gap_ms: u64,
     /// Row at the end.
@@ -68,7 +68,7 @@
     /// Writes that reached the store, conflicts included.
     pub store_writes: u64,
     /// First promise of the design that did not hold.
-    pub broken: Option<Broken>,
+    pub broken: Option<Violation>,
 }
 
 /// Why a trace cannot be replayed.
--- a/crates/citronway-core/src/hold/world/run.rs
+++ b/crates/citronway-core/src/hold/simulation/run.rs
@@ -7,7 +7,7 @@
 
 use super::chance::Chance;
 use super::node::{Clock, Node, endpoint, session};
-use super::outcome::{Broken, HoldOutcome};
+use super::outcome::{HoldOutcome, Violation};
 use super::queue::{Queued, Step, StoreWork};
 use super::script::{Header, TimedFault};
 use super::store::Store;
@@ -103,7 +103,7 @@
             self.at = queued.at;
             self.step(queued.step);
             if self.store.epoch_broken {
-                self.watch.note(Broken::Epoch { at: self.at });
+                self.watch.note(Violation::Epoch { at: self.at });
             }
             self.watch.look(&mut self.nodes, self.at);
         }
--- a/crates/citronway-core/src/hold/world/script.rs
+++ b/crates/citronway-core/src/hold/simulation/script.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::hold::{HandOverReason, HoldSettings, Reach};
+use crate::hold::{EndpointReach, HandOverReason, HoldSettings};
 
 /// First line of a trace: what it is about and the surroundings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -118,7 +118,7 @@
         /// Instance.
         node: usize,
         /// What they tell.
-        reach: Reach,
+        reach: EndpointReach,
     },
     /// It gives its role away, and when leaving exits a second later.
     HandOver {
--- a/crates/citronway-core/src/hold/world/watch.rs
+++ b/crates/citronway-core/src/hold/simulation/watch.rs
@@ -1,15 +1,15 @@
 //! Checks the promises of the design after every step of a replay.
 
 use super::node::Node;
-use super::outcome::{Acting, Broken};
+use super::outcome::{ActiveInterval, Violation};
 use crate::ids::Epoch;
 use crate::time::Wall;
 
 /// What has been seen so far.
 #[derive(Debug, Default)]
 pub(super) struct Watch {
-    pub acting: Vec<Acting>,
-    pub broken: Option<Broken>,
+    pub acting: Vec<ActiveInterval>,
+    pub broken: Option<Violation>,
     /// Epochs that were handed over, whose followers need no new floor.
     pub handed_over: Vec<Epoch>,
     longest_gap_ms: u64,
@@ -22,7 +22,7 @@
         let mut acting = None;
         for node in nodes {
             if node.went_back() {
-                self.note(Broken::Version { at });
+                self.note(Violation::Version { at });
             }
             let Some(epoch) = node.acts(at) else {
                 continue;
@@ -30,13 +30,13 @@
             let session = node.session.clone();
             if let Some((first, _)) = acting.replace((session.clone(), epoch)) {
                 let second = session;
-                self.note(Broken::TwoActing { at, first, second });
+                self.note(Violation::TwoActing { at, first, second });
             }
         }
         if let Some((session, epoch)) = acting {
             self.longest_gap_ms = self.gap_ms(at);
             self.acted_until = at;
-            self.extend(Acting {
+            self.extend(ActiveInterval {
                 session,
                 epoch,
                 from: at,
@@ -54,12 +54,12 @@
         };
         let handed_over = self.handed_over.contains(&last.epoch);
         if last.epoch < epoch && !handed_over && floor < latest_wall(last.until) {
-            self.note(Broken::Floor { at, epoch });
+            self.note(Violation::Floor { at, epoch });
         }
     }
 
     /// Notes a promise that did not hold; the first one stays.
-    pub fn note(&mut self, broken: Broken) {
+    pub fn note(&mut self, broken: Violation) {
         self.broken.get_or_insert(broken);
     }
 
@@ -68,7 +68,7 @@
         self.longest_gap_ms.max(at - self.acted_until)
     }
 
-    fn extend(&mut self, now: Acting) {
+    fn extend(&mut self, now: ActiveInterval) {
         let unbroken_ms = super::run::TICK_MS * 2;
         match self.acting.last_mut() {
             Some(last)
--- a/crates/citronway-core/src/hold/store.rs
+++ b/crates/citronway-core/src/hold/store.rs
@@ -10,7 +10,7 @@
 impl Hold {
     /// Takes the result of [`HoldAction::ReadRow`].
     #[must_use]
-    pub fn read_done(&mut self, read: u64, outcome: &ReadOutcome, now: Now) -> Vec<HoldAction> {
+    pub fn on_read_done(&mut self, read: u64, outcome: &ReadOutcome, now: Now) -> Vec<HoldAction> {
         let mut out = Vec::new();
         match outcome {
             ReadOutcome::Found { version, row } => {
@@ -26,7 +26,12 @@
 
     /// Takes the result of [`HoldAction::Write`].
     #[must_use]
-    pub fn write_done(&mut self, write: u64, outcome: &WriteOutcome, now: Now) -> Vec<HoldAction> {
+    pub fn on_write_done(
+        &mut self,
+        write: u64,
+        outcome: &WriteOutcome,
+        now: Now,
+    ) -> Vec<HoldAction> {
         let mut out = Vec::new();
         let Some(pending) = self.pending.as_mut().filter(|it| write >= it.first) else {
             return out;
--- a/crates/citronway-core/src/node/members.rs
+++ b/crates/citronway-core/src/node/members.rs
@@ -2,7 +2,7 @@
 
 use indexmap::{IndexMap, IndexSet};
 
-use crate::hold::Departures;
+use crate::hold::GoneSessions;
 use crate::ids::{InstanceName, Session, Version, ZoneName};
 use crate::peer::Heartbeat;
 use crate::placement::wanted::Candidate;
@@ -29,7 +29,7 @@
     zone: ZoneName,
     list: InstanceList,
     by_instance: IndexMap<InstanceName, Member>,
-    departures: Departures,
+    departures: GoneSessions,
     connected: IndexSet<Session>,
     /// The platform's list was read once.
     is_listed: bool,
@@ -42,7 +42,7 @@
             zone,
             list: InstanceList::default(),
             by_instance: IndexMap::new(),
-            departures: Departures::new(),
+            departures: GoneSessions::new(),
             connected: IndexSet::new(),
             is_listed: false,
         }
@@ -50,7 +50,7 @@
 
     /// Takes the platform's list; returns the sessions that are gone by it.
     pub(super) fn listed(&mut self, list: InstanceList, asked: Now) -> Vec<Session> {
-        let gone = self.departures.list(&list, asked);
+        let gone = self.departures.on_instance_list(&list, asked);
         self.list = list;
         self.is_listed = true;
         self.drop_gone(&gone);
@@ -65,20 +65,20 @@
         now: Mono,
     ) -> Vec<Session> {
         if *session == self.me {
-            return self.departures.greeted_self(session);
+            return self.departures.on_own_handshake(session);
         }
         if self.departures.is_gone(session) {
             return Vec::new();
         }
         if *session == self.me {
-            return self.departures.greeted(session);
+            return self.departures.on_handshake(session);
         }
         self.departures.watch(session);
         if !at_its_address {
             return Vec::new();
         }
         self.connected.insert(session.clone());
-        let gone = self.departures.greeted(session);
+        let gone = self.departures.on_handshake(session);
         self.drop_gone(&gone);
         let fresh = Member {
             session: session.clone(),
@@ -126,7 +126,7 @@
     }
 
     pub(super) fn gone(&self) -> Vec<Session> {
-        self.departures.gone().cloned().collect()
+        self.departures.sessions().cloned().collect()
     }
 
     pub(super) const fn known(&self) -> &IndexMap<InstanceName, Member> {
--- a/crates/citronway-core/src/node/probes.rs
+++ b/crates/citronway-core/src/node/probes.rs
@@ -5,7 +5,7 @@
 //! it; if one reaches it, it is offered the role, and nothing moves.
 
 use crate::dispatch::health::Reach as Health;
-use crate::hold::{HandOverReason, HoldEvent, Reach};
+use crate::hold::{EndpointReach, HandOverReason, HoldEvent};
 use crate::ids::{EndpointName, Session};
 use crate::node::events::{Grant, ProbeReport};
 use crate::peer::PeerMessage;
@@ -35,15 +35,15 @@
 #[derive(Debug, Clone, Copy)]
 struct OwnProbe {
     at: Mono,
-    reach: Reach,
+    reach: EndpointReach,
 }
 
 impl Probes {
     /// What this instance's own probe showed, if it is not too old.
-    pub(super) fn own_reach(&self, now: Mono) -> Reach {
+    pub(super) fn own_reach(&self, now: Mono) -> EndpointReach {
         match self.own {
             Some(own) if now.since(own.at) < PROBE_HOLDS_MS => own.reach,
-            _ => Reach::Unknown,
+            _ => EndpointReach::Unknown,
         }
     }
 
@@ -141,7 +141,11 @@
     ) {
         let reached = matches!(report, ProbeReport::Answered { .. });
         if let Some(seat) = self.seats.by_endpoint.get_mut(&endpoint) {
-            let reach = if reached { Reach::Reached } else { Reach::Lost };
+            let reach = if reached {
+                EndpointReach::Reached
+            } else {
+                EndpointReach::Lost
+            };
             seat.probes.own = Some(OwnProbe {
                 at: now.mono,
                 reach,
--- a/crates/citronway-core/src/node/seats.rs
+++ b/crates/citronway-core/src/node/seats.rs
@@ -4,7 +4,7 @@
 use indexmap::IndexMap;
 
 use crate::dispatch::{DispatchEvent, Dispatcher};
-use crate::hold::{Hold, HoldEvent, Reach};
+use crate::hold::{EndpointReach, Hold, HoldEvent};
 use crate::ids::{EndpointName, Epoch, Session};
 use crate::peer::KnownRequests;
 use crate::placement::wanted::Candidate;
@@ -84,14 +84,14 @@
         self.active.is_some() || !self.retired.is_empty()
     }
 
-    pub(super) fn reach(&self, now: Mono) -> Reach {
+    pub(super) fn reach(&self, now: Mono) -> EndpointReach {
         let Some(active) = &self.active else {
             return self.probes.own_reach(now);
         };
         match active.dispatcher.reach() {
-            crate::dispatch::health::Reach::Unreachable => Reach::Lost,
-            crate::dispatch::health::Reach::Healthy => Reach::Reached,
-            crate::dispatch::health::Reach::Suspect => Reach::Unknown,
+            crate::dispatch::health::Reach::Unreachable => EndpointReach::Lost,
+            crate::dispatch::health::Reach::Healthy => EndpointReach::Reached,
+            crate::dispatch::health::Reach::Suspect => EndpointReach::Unknown,
         }
     }
 }
@@ -174,7 +174,7 @@
         let mut fit = None;
         for name in self.seats.endpoints() {
             let mut candidates = Vec::new();
-            if self.seats.by_endpoint[&name].hold.wants_candidates(now) {
+            if self.seats.by_endpoint[&name].hold.needs_candidates(now) {
                 let fit = fit.get_or_insert_with(|| self.fit(now));
                 candidates = self.ranked(&name, fit);
             }
--- a/crates/citronway-core/tests/hold_candidates.rs
+++ b/crates/citronway-core/tests/hold_candidates.rs
@@ -5,7 +5,7 @@
 //! or nobody would rewrite a row of sessions that are gone. Users would see keys
 //! that nobody serves.
 
-use citronway_core::hold::{Hold, HoldAction, HoldEvent, HoldSettings, Reach, ReadOutcome};
+use citronway_core::hold::{EndpointReach, Hold, HoldAction, HoldEvent, HoldSettings, ReadOutcome};
 use citronway_core::ids::{EndpointName, Epoch, Session, Version};
 use citronway_core::peer::HoldMessage;
 use citronway_core::platform::WriteOutcome;
@@ -93,11 +93,13 @@
         self.now.mono = self.now.mono.plus(ms);
         self.now.wall = self.now.wall.plus(ms);
         let candidates: Vec<Session> = (0..SESSIONS).map(session).collect();
-        let wants = self.hold.wants_candidates(self.now);
+        let wants = self.hold.needs_candidates(self.now);
         let mut without = self.hold.clone();
-        let actions = self.hold.tick(&candidates, Reach::Reached, self.now);
+        let actions = self
+            .hold
+            .tick(&candidates, EndpointReach::Reached, self.now);
         if !wants {
-            let bare = without.tick(&[], Reach::Reached, self.now);
+            let bare = without.tick(&[], EndpointReach::Reached, self.now);
             assert_eq!(actions, bare, "candidates made a difference");
             assert_eq!(format!("{:?}", self.hold), format!("{without:?}"));
         }
--- a/crates/citronway-core/tests/hold_list.rs
+++ b/crates/citronway-core/tests/hold_list.rs
@@ -1,6 +1,6 @@
 //! The list of successors that a dispatcher keeps.
 
-use citronway_core::hold::{Hold, HoldAction, HoldEvent, HoldSettings, Reach, ReadOutcome};
+use citronway_core::hold::{EndpointReach, Hold, HoldAction, HoldEvent, HoldSettings, ReadOutcome};
 use citronway_core::ids::{EndpointName, Epoch, Session, Version};
 use citronway_core::peer::HoldMessage;
 use citronway_core::platform::WriteOutcome;
@@ -107,7 +107,7 @@
         };
         let tick = HoldEvent::Tick {
             candidates: candidates.to_vec(),
-            reach: Reach::Reached,
+            reach: EndpointReach::Reached,
         };
         desk.feed(tick, now);
     }
--- a/crates/citronway-core/tests/hold_machine.rs
+++ b/crates/citronway-core/tests/hold_machine.rs
@@ -1,6 +1,6 @@
 //! Single decisions of a hold that a replay of whole worlds does not single out.
 
-use citronway_core::hold::{Hold, HoldAction, HoldEvent, HoldSettings, Reach, ReadOutcome};
+use citronway_core::hold::{EndpointReach, Hold, HoldAction, HoldEvent, HoldSettings, ReadOutcome};
 use citronway_core::ids::{EndpointName, Epoch, Session, Version};
 use citronway_core::peer::{HoldMessage, KnownRequests};
 use citronway_core::shard::DispatchRow;
@@ -35,14 +35,14 @@
 fn hold(index: u64) -> Hold {
     let endpoint = EndpointName::new(ENDPOINT);
     let mut hold = Hold::new(session(index), endpoint, HoldSettings::default());
-    let _ = hold.row(&row(), Version(1), at(1_000));
+    let _ = hold.on_row(&row(), Version(1), at(1_000));
     hold
 }
 
 fn tick(hold: &mut Hold, ms: u64) -> Vec<HoldAction> {
     hold.tick(
         &[session(0), session(1), session(2)],
-        Reach::Unknown,
+        EndpointReach::Unknown,
         at(ms),
     )
 }
@@ -74,7 +74,7 @@
         version: Version(1),
         row: row(),
     };
-    let _ = hold.read_done(1, &found, at(3_010));
+    let _ = hold.on_read_done(1, &found, at(3_010));
     expect_that!(writes(&tick(&mut hold, 3_020)), eq(0));
 }
 
@@ -83,15 +83,15 @@
 #[gtest]
 fn a_declined_offer_stays_declined() {
     let mut hold = hold(1);
-    let _ = hold.tick(&[], Reach::Lost, at(1_020));
-    let first = hold.message(&session(0), &handover(), at(1_030));
+    let _ = hold.tick(&[], EndpointReach::Lost, at(1_020));
+    let first = hold.on_message(&session(0), &handover(), at(1_030));
     let declined = pat!(HoldAction::Send {
         message: pat!(HoldMessage::Refuse { round: eq(&0), .. }),
         ..
     });
     expect_that!(first, elements_are![declined]);
-    let _ = hold.tick(&[], Reach::Reached, at(1_040));
-    let again = hold.message(&session(0), &handover(), at(1_050));
+    let _ = hold.tick(&[], EndpointReach::Reached, at(1_040));
+    let again = hold.on_message(&session(0), &handover(), at(1_050));
     expect_that!(writes(&again), eq(0));
 }
 
@@ -106,8 +106,8 @@
         round: 1,
         duration_ms: 800,
     };
-    let _ = hold.message(&session(0), &ask, at(1_010));
-    let taken = hold.message(&session(0), &handover(), at(1_020));
+    let _ = hold.on_message(&session(0), &ask, at(1_010));
+    let taken = hold.on_message(&session(0), &handover(), at(1_020));
     expect_that!(writes(&taken), eq(1));
 }
 
@@ -144,7 +144,7 @@
     let mut hold = hold(0);
     let _ = tick(&mut hold, 1_020);
     for successor in [1, 2] {
-        let _ = hold.message(&session(successor), &promise(1), at(1_520));
+        let _ = hold.on_message(&session(successor), &promise(1), at(1_520));
     }
     expect_that!(hold.may_act(at(1_819)), some(eq(Epoch(1))));
     expect_that!(hold.may_act(at(1_820)), none());
@@ -159,10 +159,10 @@
     let mut hold = Hold::new(session(0), endpoint, HoldSettings::default());
     let first = tick(&mut hold, 1_000);
     expect_that!(first, elements_are![eq(&HoldAction::ReadRow { read: 1 })]);
-    let _ = hold.read_done(1, &ReadOutcome::Failed, at(1_010));
+    let _ = hold.on_read_done(1, &ReadOutcome::Failed, at(1_010));
     expect_that!(writes(&tick(&mut hold, 1_020)), eq(0));
     let _ = tick(&mut hold, 1_220);
-    let _ = hold.read_done(2, &ReadOutcome::Absent, at(1_230));
+    let _ = hold.on_read_done(2, &ReadOutcome::Absent, at(1_230));
     let created = tick(&mut hold, 1_240);
     let write = pat!(HoldAction::Write {
         expected: eq(&Version(0)),
--- a/crates/citronway-core/tests/hold_traces.rs
+++ b/crates/citronway-core/tests/hold_traces.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use citronway_core::hold::world::{HoldOutcome, ReplayError, replay};
+use citronway_core::hold::simulation::{HoldOutcome, ReplayError, replay};
 use googletest::prelude::*;
 
 fn traces() -> Vec<PathBuf> {
--- a/crates/citronway-core/tests/hold_walk.rs
+++ b/crates/citronway-core/tests/hold_walk.rs
@@ -1,8 +1,8 @@
 //! Random interleavings of holds: no second dispatcher, nothing goes back, and
 //! service returns when the faults stop.
 
-use citronway_core::hold::world::{Fault, Header, HoldOutcome, TimedFault, replay_script};
-use citronway_core::hold::{HandOverReason, Reach};
+use citronway_core::hold::simulation::{Fault, Header, HoldOutcome, TimedFault, replay_script};
+use citronway_core::hold::{EndpointReach, HandOverReason};
 use proptest::prelude::*;
 use proptest::sample::select;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseResult, TestRng, TestRunner};
@@ -28,7 +28,7 @@
         2 => Just(Fault::StoreUp),
         4 => (node(), 1_u64..5_000).prop_map(|(node, ms)| Fault::DelayWrite { node, ms }),
         2 => node().prop_map(|node| Fault::LoseAnswer { node }),
-        1 => (node(), select(vec![Reach::Lost, Reach::Reached]))
+        1 => (node(), select(vec![EndpointReach::Lost, EndpointReach::Reached]))
             .prop_map(|(node, reach)| Fault::Reach { node, reach }),
         1 => (node(), select(vec![HandOverReason::Leaving, HandOverReason::EndpointLost]))
             .prop_map(|(node, reason)| Fault::HandOver { node, reason }),
