--- a/crates/citronway-core/src/gateway/admission/job.rs
+++ b/crates/citronway-core/src/gateway/admission/job.rs
@@ -28,9 +28,9 @@
     /// Until then an answer is worth most.
     pub objective_at: Mono,
     /// Then its caller or its route no longer waits.
-    pub last_at: Mono,
+    pub deadline: Mono,
     /// Until then its caller could come back.
-    pub caller_until: Mono,
+    pub caller_deadline: Mono,
     /// Usual time of work of its route, in milliseconds.
     pub work_ms: u64,
     /// Usual size of an answer of its route, in bytes.
@@ -140,7 +140,7 @@
 
 /// Why it is not known whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DoubtReason {
+pub enum UnknownOutcomeReason {
     /// Its endpoint broke off.
     Broken,
     /// Its time ended.
@@ -151,7 +151,7 @@
     Crashed,
 }
 
-impl DoubtReason {
+impl UnknownOutcomeReason {
     /// All reasons, for tables in documents and tests.
     pub const ALL: [Self; 4] = [Self::Broken, Self::Timeout, Self::Stopped, Self::Crashed];
 
--- a/crates/citronway-core/src/gateway/admission/kept.rs
+++ b/crates/citronway-core/src/gateway/admission/kept.rs
@@ -12,7 +12,7 @@
 
 /// Idle time of a connection up to which work that may not be repeated is sent on it, in
 /// milliseconds; endpoints state ten seconds and at times keep to a third of it.
-pub const SURE_IDLE_MS: u64 = 2_000;
+pub const AT_MOST_ONCE_IDLE_MS: u64 = 2_000;
 
 /// Connections without a request, by endpoint: how many, and when the last one got idle.
 #[derive(Debug, Default)]
@@ -46,7 +46,7 @@
     pub(super) fn has(&self, now: Mono, tag: EndpointTag, repeat: Repeat) -> bool {
         let limit_ms = match repeat {
             Repeat::Idempotent => IDLE_MS,
-            Repeat::AtMostOnce => SURE_IDLE_MS,
+            Repeat::AtMostOnce => AT_MOST_ONCE_IDLE_MS,
         };
         let kept = self.0.get(&tag);
         kept.is_some_and(|(_, last)| now.since(*last) < limit_ms)
--- a/crates/citronway-core/src/gateway/admission/mod.rs
+++ b/crates/citronway-core/src/gateway/admission/mod.rs
@@ -21,8 +21,8 @@
 use choose::Finding;
 use kept::Kept;
 
-pub use job::{Choice, Decision, DoubtReason, Job, Refusal, RefusalReason};
-pub use kept::SURE_IDLE_MS;
+pub use job::{Choice, Decision, UnknownOutcomeReason, Job, Refusal, RefusalReason};
+pub use kept::AT_MOST_ONCE_IDLE_MS;
 pub use view::{Owners, Standing, View};
 
 /// Shortest time to come back that a refused caller is told, in milliseconds.
@@ -104,7 +104,7 @@
     ///
     /// `None` while it waits; [`Admission::pump`] decides about it later.
     pub fn arrive(&mut self, now: Mono, view: &View, mut job: Job) -> Option<Decision> {
-        job.last_at = self.ends_at.map_or(job.last_at, |end| job.last_at.min(end));
+        job.deadline = self.ends_at.map_or(job.deadline, |end| job.deadline.min(end));
         let queue_key = Self::queue_key(view, &job);
         let ahead = self.ahead(queue_key, job.priority);
         let found = if ahead > 0 {
@@ -173,7 +173,7 @@
     pub fn end_by(&mut self, end: Mono) {
         self.ends_at = Some(end);
         for job in &mut self.waiting {
-            job.last_at = job.last_at.min(end);
+            job.deadline = job.deadline.min(end);
         }
     }
 
@@ -379,10 +379,10 @@
     let is_evacuated = cause == RefusalReason::Evacuated;
     // Work that misses its objective is still worth something; whoever cannot
     // meet even the end of his time only keeps others waiting.
-    if due < job.last_at && !is_evacuated {
+    if due < job.deadline && !is_evacuated {
         return None;
     }
-    let left = job.caller_until.since(now);
+    let left = job.caller_deadline.since(now);
     let least = match cause {
         RefusalReason::Evacuated => EVACUATED_RETRY_MS,
         RefusalReason::KeyUnowned | RefusalReason::Unreachable | RefusalReason::NoEndpoint => {
@@ -405,7 +405,7 @@
 /// go behind those that can still be in time, and take what is left.
 fn urgency(now: Mono, job: &Job) -> (u8, bool, Mono) {
     let usual = now.plus(job.expected_ms());
-    (job.priority, usual > job.objective_at, job.last_at)
+    (job.priority, usual > job.objective_at, job.deadline)
 }
 
 /// Place of a priority among the ranks that are counted apart.
--- a/crates/citronway-core/src/gateway/assignment/mod.rs
+++ b/crates/citronway-core/src/gateway/assignment/mod.rs
@@ -26,7 +26,7 @@
 /// Most ranges of the assignment of a service with so many endpoints: with more than 960,
 /// each has one and every fourth another.
 #[must_use]
-pub const fn most_ranges(endpoints: usize) -> usize {
+pub const fn max_ranges(endpoints: usize) -> usize {
     let more = endpoints + endpoints / 4;
     if more > MAX_RANGES { more } else { MAX_RANGES }
 }
@@ -38,7 +38,7 @@
 ///
 /// Each attempt to seal the old owner takes a fence of its own, so that a lost
 /// attempt that is carried out late is below the one that was confirmed.
-pub const FENCES_A_MOVE: u64 = 8;
+pub const FENCES_PER_MOVE: u64 = 8;
 
 /// An endpoint together with the fence of its grant.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -95,7 +95,7 @@
 
 impl Assignment {
     /// Takes `count` fences; returns the highest of them.
-    pub fn draw_fences(&mut self, count: u64) -> u64 {
+    pub fn allocate_fences(&mut self, count: u64) -> u64 {
         self.next_fence += count;
         self.next_fence - 1
     }
@@ -190,7 +190,7 @@
     fn has_sound_fences(&self, range: &Range) -> bool {
         let held = range.holder.fence;
         let next = range.next.as_ref().map(|next| next.fence);
-        let follows = |next: u64| next > held && next >= FENCES_A_MOVE && next < self.next_fence;
+        let follows = |next: u64| next > held && next >= FENCES_PER_MOVE && next < self.next_fence;
         held < self.next_fence && next.is_none_or(follows)
     }
 
--- a/crates/citronway-core/src/gateway/cold.rs
+++ b/crates/citronway-core/src/gateway/cold.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 
-use crate::gateway::leader::{LeaderSettings, Rivals};
+use crate::gateway::leader::{LeaderSettings, PredecessorLimits};
 use crate::gateway::pace::EndpointTag;
 use crate::time::Mono;
 
@@ -54,7 +54,7 @@
     /// Start of the newest call by which the store confirmed it.
     pub contact: Mono,
     /// What earlier leaders may still do.
-    pub rivals: Rivals,
+    pub rivals: PredecessorLimits,
     /// Earlier leaders that are not known to have stopped.
     pub earlier: u32,
 }
--- a/crates/citronway-core/src/gateway/crashes/ledger.rs
+++ b/crates/citronway-core/src/gateway/crashes/ledger.rs
@@ -14,7 +14,7 @@
 
 /// Age at which a crash no longer counts, in milliseconds; harmful work is remembered for as
 /// long after it was refused.
-pub const CRASH_COUNTS_MS: u64 = 600_000;
+pub const CRASH_EXPIRY_MS: u64 = 600_000;
 
 /// Endpoints that crash within [`TOGETHER_MS`] of each other without a work in common: with
 /// more than so many others, machines are lost and no request is behind it.
@@ -53,10 +53,10 @@
 const MOST_ENTRIES: usize = 4_096;
 
 /// Most work that is told of and stored as harmful.
-pub const MOST_REFUSED: usize = 256;
+pub const MAX_REFUSED: usize = 256;
 
 /// Most suspects that are told.
-pub const MOST_SUSPECTS: usize = 256;
+pub const MAX_SUSPECTS: usize = 256;
 
 /// Time after the last crash in which all instances are told of a suspect of one crash, in
 /// milliseconds; one of more crashes is told for as long as it is remembered.
@@ -83,7 +83,7 @@
         refused_ms: u64,
     },
     /// It is no longer refused, or no longer under suspicion after it was.
-    LetGo {
+    Cleared {
         /// Which work.
         work: Fingerprint,
         /// Why.
@@ -183,7 +183,7 @@
             if fresh && counted(now, entry, ended) < HARMFUL_CRASHES {
                 entry.state = State::Suspect;
                 let (work, cause) = (*work, "machines were lost");
-                verdicts.push(Verdict::LetGo { work, cause });
+                verdicts.push(Verdict::Cleared { work, cause });
             }
         }
         verdicts
@@ -198,7 +198,7 @@
         }
         self.let_go.insert(work, (entry.state.times(), now));
         let cause = "an endpoint ran it to its end";
-        Some(Verdict::LetGo { work, cause })
+        Some(Verdict::Cleared { work, cause })
     }
 
     /// Whether work is refused.
@@ -211,7 +211,7 @@
     /// Whether an instance refuses work now; `rank` is its order among all, see
     /// [`Ledger::known`].
     #[must_use]
-    pub fn refuses_at(&self, now: Mono, rank: u64, work: Fingerprint) -> bool {
+    pub fn is_refused_at(&self, now: Mono, rank: u64, work: Fingerprint) -> bool {
         let entry = self.entries.get(&work);
         let until = entry.and_then(|entry| refused_until(work, entry.state, rank));
         until.is_some_and(|until| now < until)
@@ -219,7 +219,7 @@
 
     /// Whether work was at an endpoint that crashed, and was not answered since.
     #[must_use]
-    pub fn suspects_work(&self, work: Fingerprint) -> bool {
+    pub fn is_suspect(&self, work: Fingerprint) -> bool {
         self.entries.contains_key(&work)
     }
 
@@ -254,7 +254,7 @@
     }
 
     /// Takes a suspect that the leader tells of.
-    pub fn told_suspect(&mut self, now: Mono, work: Fingerprint) {
+    pub fn apply_leader_suspect(&mut self, now: Mono, work: Fingerprint) {
         if let Some(entry) = self.entries.get_mut(&work) {
             entry.told = now;
             return;
@@ -285,12 +285,12 @@
                 State::Suspect if entry.crashes.is_empty() => {
                     now.since(entry.told) < TOLD_STANDS_MS
                 }
-                State::Suspect => now.since(entry.last()) < CRASH_COUNTS_MS,
-                State::Refused { until, .. } => now < until.plus(CRASH_COUNTS_MS),
+                State::Suspect => now.since(entry.last()) < CRASH_EXPIRY_MS,
+                State::Refused { until, .. } => now < until.plus(CRASH_EXPIRY_MS),
             };
             if !stays && entry.was_harmful() {
                 let (work, cause) = (*work, "it did not come again");
-                verdicts.push(Verdict::LetGo { work, cause });
+                verdicts.push(Verdict::Cleared { work, cause });
             }
             stays
         });
@@ -299,7 +299,7 @@
         while self
             .ended
             .front()
-            .is_some_and(|(at, _)| now.since(*at) >= CRASH_COUNTS_MS)
+            .is_some_and(|(at, _)| now.since(*at) >= CRASH_EXPIRY_MS)
         {
             self.ended.pop_front();
         }
@@ -319,7 +319,7 @@
         });
         let mut settled: Vec<_> = settled.collect();
         settled.sort_by_key(|(since, refused)| (std::cmp::Reverse(*since), refused.work));
-        settled.truncate(MOST_REFUSED);
+        settled.truncate(MAX_REFUSED);
         settled.into_iter().map(|(_, refused)| refused).collect()
     }
 
@@ -332,7 +332,7 @@
         });
         let mut suspects: Vec<_> = suspects.map(|(work, e)| (e.last(), *work)).collect();
         suspects.sort_by_key(|(last, work)| (std::cmp::Reverse(*last), *work));
-        suspects.truncate(MOST_SUSPECTS);
+        suspects.truncate(MAX_SUSPECTS);
         suspects.into_iter().map(|(_, work)| work).collect()
     }
 
@@ -436,7 +436,7 @@
     let mut excused = 0;
     let mut counted = 0;
     for crash in &entry.crashes {
-        if now.since(crash.at) >= CRASH_COUNTS_MS {
+        if now.since(crash.at) >= CRASH_EXPIRY_MS {
             continue;
         }
         let others = ended.iter().filter(|(at, endpoint)| {
--- a/crates/citronway-core/src/gateway/crashes/mod.rs
+++ b/crates/citronway-core/src/gateway/crashes/mod.rs
@@ -21,10 +21,10 @@
 
 pub use fingerprint::{Fingerprint, FingerprintKey, KeyError, Work};
 pub use known::Known;
-pub use ledger::{CRASH_COUNTS_MS, HARMFUL_CRASHES, Ledger, MOST_REFUSED, MOST_SUSPECTS, Verdict};
-pub use sign::{MOST_SIGNS, Outbox, Sign, Taken};
+pub use ledger::{CRASH_EXPIRY_MS, HARMFUL_CRASHES, Ledger, MAX_REFUSED, MAX_SUSPECTS, Verdict};
+pub use sign::{MAX_SIGNS_PER_REPORT, SignQueue, Sign, Taken};
 pub use stored::{Refused, StoredCrashes, StoredSuspect};
 pub use trials::{
-    Place, TURN_MS, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials, come_back_ms,
-    may_try_alone,
+    Place, TIME_SLICE_MS, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials, copy_retry_after_ms,
+    may_try_without_leader,
 };
--- a/crates/citronway-core/src/gateway/crashes/remembered.rs
+++ b/crates/citronway-core/src/gateway/crashes/remembered.rs
@@ -1,7 +1,7 @@
 //! Which suspects the store remembers beyond the end of all instances.
 
 use super::entry::Crash;
-use super::{Ledger, MOST_SUSPECTS, StoredSuspect};
+use super::{Ledger, MAX_SUSPECTS, StoredSuspect};
 use crate::time::Mono;
 
 impl Ledger {
@@ -28,14 +28,14 @@
     /// Failure guarded against: work is taken as harmful, is no suspect any more and not yet
     /// told of as harmful, and the row that is written in between names it nowhere.
     #[must_use]
-    pub fn to_remember(&self, now: Mono) -> Vec<StoredSuspect> {
+    pub fn suspects_to_store(&self, now: Mono) -> Vec<StoredSuspect> {
         let settled = self.harmful(now);
         let unsettled = self.entries.iter().filter(|(work, entry)| {
             let is_settled = settled.iter().any(|refused| refused.work == **work);
             entry.was_harmful() && !entry.crashes.is_empty() && !is_settled
         });
         let unsettled = unsettled.map(|(work, _)| *work);
-        let works = unsettled.chain(self.suspects(now)).take(MOST_SUSPECTS);
+        let works = unsettled.chain(self.suspects(now)).take(MAX_SUSPECTS);
         let mut suspects: Vec<_> = works
             .filter_map(|work| {
                 let crashes = &self.entries.get(&work)?.crashes;
--- a/crates/citronway-core/src/gateway/crashes/sign.rs
+++ b/crates/citronway-core/src/gateway/crashes/sign.rs
@@ -11,7 +11,7 @@
 use crate::ids::{InstanceName, Session, SessionId};
 
 /// Most signs that one report carries.
-pub const MOST_SIGNS: usize = 128;
+pub const MAX_SIGNS_PER_REPORT: usize = 128;
 
 /// Reports that carry a sign: datagrams are lost now and then.
 const REPEATS: u8 = 8;
@@ -39,13 +39,13 @@
 
 /// Signs on their way to other instances, each in several reports.
 #[derive(Debug, Default)]
-pub struct Outbox {
+pub struct SignQueue {
     /// Number of the first one that waits.
     first: u64,
     waiting: VecDeque<(Sign, u8)>,
 }
 
-impl Outbox {
+impl SignQueue {
     /// Adds a sign.
     pub fn push(&mut self, sign: Sign) {
         if self.waiting.len() < MOST_WAITING {
@@ -56,14 +56,14 @@
     /// Whether the next report would be the first that carries a sign.
     #[must_use]
     pub fn has_news(&self) -> bool {
-        let mut next = self.waiting.iter().take(MOST_SIGNS);
+        let mut next = self.waiting.iter().take(MAX_SIGNS_PER_REPORT);
         next.any(|(_, left)| *left == REPEATS)
     }
 
     /// Takes the signs of the next report, and the number of the first of them.
     pub fn take(&mut self) -> (u64, Vec<Sign>) {
         let first = self.first;
-        let count = self.waiting.len().min(MOST_SIGNS);
+        let count = self.waiting.len().min(MAX_SIGNS_PER_REPORT);
         let signs = self.waiting.iter().take(count).map(|(sign, _)| *sign);
         let signs = signs.collect();
         for (_, left) in self.waiting.iter_mut().take(count) {
@@ -94,11 +94,11 @@
             instance: report.instance.clone(),
             id: report.session,
         };
-        self.fresh_from(&from, report.first_sign, &report.signs)
+        self.new_signs_from(&from, report.first_sign, &report.signs)
     }
 
     /// The same for signs of any message; `first` is the number of the first of them.
-    pub fn fresh_from<'a>(&mut self, from: &Session, first: u64, signs: &'a [Sign]) -> &'a [Sign] {
+    pub fn new_signs_from<'a>(&mut self, from: &Session, first: u64, signs: &'a [Sign]) -> &'a [Sign] {
         if signs.is_empty() {
             return &[];
         }
--- a/crates/citronway-core/src/gateway/crashes/trials.rs
+++ b/crates/citronway-core/src/gateway/crashes/trials.rs
@@ -1,6 +1,6 @@
 //! Which copy of work under suspicion is sent: one at a time in the whole fleet.
 //!
-//! The leader grants trials. An instance that no leader answers goes by [`may_try_alone`].
+//! The leader grants trials. An instance that no leader answers goes by [`may_try_without_leader`].
 
 use indexmap::IndexMap;
 
@@ -33,7 +33,7 @@
 const MOST_TURNS: u64 = 16;
 
 /// Length of such a turn, in milliseconds.
-pub const TURN_MS: u64 = 500;
+pub const TIME_SLICE_MS: u64 = 500;
 
 /// One request of one process for a trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -178,7 +178,7 @@
 /// Failure guarded against: copies that were refused come back at one moment. They are spread
 /// over half of the time again.
 #[must_use]
-pub fn come_back_ms(busy_ms: u64, left_ms: u64, number: u64) -> u64 {
+pub fn copy_retry_after_ms(busy_ms: u64, left_ms: u64, number: u64) -> u64 {
     let soonest = busy_ms.max(MIN_COME_BACK_MS);
     let spread = soonest / 2 * (number % SPREAD_STEPS) / SPREAD_STEPS;
     (soonest + spread).min(left_ms / 3).max(MIN_COME_BACK_MS)
@@ -200,7 +200,7 @@
 /// was beside harmful work is refused until one does. All instances hear of a crash within a
 /// fraction of a turn, so no two of them with different turns try the work together.
 #[must_use]
-pub fn may_try_alone(now: Mono, heard: Mono, place: Place) -> bool {
+pub fn may_try_without_leader(now: Mono, heard: Mono, place: Place) -> bool {
     let turns = place.of.clamp(1, MOST_TURNS);
-    now.since(heard) / TURN_MS % turns == place.before % turns
+    now.since(heard) / TIME_SLICE_MS % turns == place.before % turns
 }
--- a/crates/citronway-core/src/gateway/leader/mod.rs
+++ b/crates/citronway-core/src/gateway/leader/mod.rs
@@ -21,7 +21,7 @@
 
 use indexmap::IndexMap;
 
-use crate::gateway::assignment::{Assignment, FENCES_A_MOVE, Holder, LAST_KEY, Range};
+use crate::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, LAST_KEY, Range};
 use crate::gateway::registry::Registry;
 use crate::ids::{EndpointStart, ServiceName, Version};
 use crate::time::Mono;
@@ -31,7 +31,7 @@
 use reach::Reach;
 
 pub use orders::{Action, Order, OrderKind, OrderResult, Span, WriteResult};
-pub use settings::{LeaderSettings, Rivals};
+pub use settings::{LeaderSettings, PredecessorLimits};
 
 /// Ranges of a row that make the time between two writes of it a millisecond longer: 70 ms
 /// at 500 ranges.
@@ -86,7 +86,7 @@
     /// Start of the newest call that confirmed it.
     contact: Mono,
     /// What earlier leaders may still do.
-    rivals: Rivals,
+    rivals: PredecessorLimits,
 }
 
 impl Leader {
@@ -113,7 +113,7 @@
     /// Takes office after the row has been read again.
     ///
     /// `contact` is when the confirming call was sent.
-    pub fn begin(&mut self, contact: Mono, rivals: Rivals) {
+    pub fn begin(&mut self, contact: Mono, rivals: PredecessorLimits) {
         self.tenure = Some(Tenure { contact, rivals });
         self.writing = false;
         self.takeover = Takeover::Begins;
@@ -143,8 +143,8 @@
     }
 
     /// Learns that the earlier leader stopped at `at`.
-    pub fn rival_stopped(&mut self, at: Mono) {
-        let left = self.cfg.stopped_rivals(at);
+    pub fn predecessor_stopped(&mut self, at: Mono) {
+        let left = self.cfg.stopped_predecessor_limits(at);
         if let Some(tenure) = &mut self.tenure {
             tenure.rivals = tenure.rivals.min(left);
         }
@@ -253,7 +253,7 @@
             let (Ok(first), Ok(last)) = (u16::try_from(first), u16::try_from(last)) else {
                 continue;
             };
-            let fence = row.draw_fences(FENCES_A_MOVE);
+            let fence = row.allocate_fences(FENCES_PER_MOVE);
             row.ranges.push(Range {
                 first,
                 last,
@@ -335,7 +335,7 @@
             if !old {
                 continue;
             }
-            let fence = row.draw_fences(FENCES_A_MOVE);
+            let fence = row.allocate_fences(FENCES_PER_MOVE);
             if let Some(next) = &mut row.ranges[i].next {
                 next.fence = fence;
             }
--- a/crates/citronway-core/src/gateway/leader/moves.rs
+++ b/crates/citronway-core/src/gateway/leader/moves.rs
@@ -1,6 +1,6 @@
 //! A range on its way from its holder to the next owner.
 
-use crate::gateway::assignment::{self, Assignment, FENCES_A_MOVE, Holder, MAX_RANGES, Range};
+use crate::gateway::assignment::{self, Assignment, FENCES_PER_MOVE, Holder, MAX_RANGES, Range};
 use crate::gateway::leader::holds::Given;
 use crate::gateway::leader::orders::{Action, Order, OrderKind, OrderResult, Span};
 use crate::gateway::leader::{Leader, LeaderSettings, Tenure};
@@ -8,7 +8,7 @@
 use crate::time::Mono;
 
 /// Seals that are tried before a holder's time is waited for instead.
-const MAX_SEALS: u64 = FENCES_A_MOVE - 1;
+const MAX_SEALS: u64 = FENCES_PER_MOVE - 1;
 
 /// Time between two looks at a move that waits, in milliseconds: what it waits for takes
 /// 0.25 s (another try) or seconds (the end of a hold).
@@ -47,17 +47,17 @@
 
     /// Fence of the seal that was sent last, below the next owner's.
     fn seal_fence(&self, next: &Holder) -> u64 {
-        next.fence - FENCES_A_MOVE + self.seals
+        next.fence - FENCES_PER_MOVE + self.seals
     }
 }
 
 /// Most ranges of a row, by its endpoints.
-fn most_ranges(row: &Assignment) -> usize {
+fn max_ranges(row: &Assignment) -> usize {
     if row.ranges.len() < MAX_RANGES {
         // No row has to have fewer.
         return MAX_RANGES;
     }
-    assignment::most_ranges(row.holders())
+    assignment::max_ranges(row.holders())
 }
 
 /// Cuts the span out of its range and starts its move; false if it does not fit.
@@ -81,14 +81,14 @@
     // endpoints that had ended were served by nobody. Whole ranges need no room.
     let cuts =
         usize::from(row.ranges[i].first < span.first) + usize::from(span.last < row.ranges[i].last);
-    let has_room = cuts == 0 || row.ranges.len() + cuts <= most_ranges(row);
+    let has_room = cuts == 0 || row.ranges.len() + cuts <= max_ranges(row);
     if target(&row.ranges[i]) == to.start || !has_room {
         return false;
     }
     let next = Holder {
         endpoint: to.start.clone(),
         address: to.address,
-        fence: row.draw_fences(FENCES_A_MOVE),
+        fence: row.allocate_fences(FENCES_PER_MOVE),
     };
     let old = row.ranges.remove(i);
     let mut at = i;
@@ -117,7 +117,7 @@
 /// move; the holder lets go of one of them, and both are given to the next owner.
 fn rest(row: &mut Assignment, old: &Range, first: u16, last: u16) -> Range {
     let next = old.next.as_ref().map(|next| Holder {
-        fence: row.draw_fences(FENCES_A_MOVE),
+        fence: row.allocate_fences(FENCES_PER_MOVE),
         ..next.clone()
     });
     Range {
@@ -155,7 +155,7 @@
                 i += 1;
                 continue;
             }
-            let (last, fence) = (right.last, row.draw_fences(FENCES_A_MOVE));
+            let (last, fence) = (right.last, row.allocate_fences(FENCES_PER_MOVE));
             row.ranges.remove(i);
             row.ranges[i - 1].last = last;
             row.ranges[i - 1].holder.fence = fence;
--- a/crates/citronway-core/src/gateway/leader/settings.rs
+++ b/crates/citronway-core/src/gateway/leader/settings.rs
@@ -88,17 +88,17 @@
 
     /// What an earlier leader, replaced at `replaced`, may still do.
     #[must_use]
-    pub const fn rivals(&self, replaced: Mono) -> Rivals {
-        Rivals {
+    pub const fn rivals(&self, replaced: Mono) -> PredecessorLimits {
+        PredecessorLimits {
             connect_until: replaced.plus(self.connect_limit_ms + TIMER_MARGIN_MS),
-            hold_until: replaced.plus(self.rival_wait_ms()),
+            hold_until: replaced.plus(self.predecessor_wait_ms()),
         }
     }
 
     /// What a leader that stopped at `at` may have left behind.
     #[must_use]
-    pub const fn stopped_rivals(&self, at: Mono) -> Rivals {
-        Rivals {
+    pub const fn stopped_predecessor_limits(&self, at: Mono) -> PredecessorLimits {
+        PredecessorLimits {
             connect_until: at.plus(self.order_timeout_ms + TIMER_MARGIN_MS),
             hold_until: self.end_of_order(at),
         }
@@ -107,21 +107,21 @@
     /// How long after it was replaced an earlier leader's last hold can end, in
     /// milliseconds.
     #[must_use]
-    pub const fn rival_wait_ms(&self) -> u64 {
+    pub const fn predecessor_wait_ms(&self) -> u64 {
         self.end_of_order(Mono(self.contact_limit_ms)).0
     }
 }
 
 /// What earlier leaders may still do.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Rivals {
+pub struct PredecessorLimits {
     /// Until then they may make connections to endpoints and grant on them.
     pub connect_until: Mono,
     /// Until then holds that they gave may last.
     pub hold_until: Mono,
 }
 
-impl Rivals {
+impl PredecessorLimits {
     /// The earlier ends of both.
     #[must_use]
     pub fn min(self, other: Self) -> Self {
--- a/crates/citronway-core/src/gateway/placement.rs
+++ b/crates/citronway-core/src/gateway/placement.rs
@@ -7,7 +7,7 @@
 
 use indexmap::IndexMap;
 
-use crate::gateway::assignment::{Assignment, most_ranges};
+use crate::gateway::assignment::{Assignment, max_ranges};
 use crate::gateway::keyload::{KeyLoads, Look};
 use crate::gateway::leader::{Move, Span};
 use crate::ids::EndpointStart;
@@ -346,7 +346,7 @@
     fn many_pieces(&self) -> usize {
         let wanted = self.scene.places.len() * PIECES_AN_ENDPOINT;
         // A row that is full takes no cut, and hot ranges stay whole.
-        wanted.clamp(MIN_PIECES, most_ranges(self.scene.places.len()) / 8 * 7)
+        wanted.clamp(MIN_PIECES, max_ranges(self.scene.places.len()) / 8 * 7)
     }
 
     /// Gives small pieces to their neighbours' owners while there are too many.
--- a/crates/citronway-core/src/node/crashes.rs
+++ b/crates/citronway-core/src/node/crashes.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::gateway::crashes::{
-    Fingerprint, FingerprintKey, Ledger, Outbox, Sign, Taken, Verdict, come_back_ms,
+    Fingerprint, FingerprintKey, Ledger, SignQueue, Sign, Taken, Verdict, copy_retry_after_ms,
 };
 use crate::gateway::pace::EndpointTag;
 use crate::ids::{EndpointName, Session};
@@ -57,7 +57,7 @@
     rank: u64,
     session: u64,
     ledger: Ledger,
-    outbox: Outbox,
+    outbox: SignQueue,
     taken: Taken,
     broken: VecDeque<Broken>,
     ends: IndexMap<EndpointName, Ends>,
@@ -102,7 +102,7 @@
             return None;
         }
         let work = self.fingerprint(req);
-        let refused = self.ledger.refuses_at(now, self.rank, work);
+        let refused = self.ledger.is_refused_at(now, self.rank, work);
         refused.then(|| NotRun::new(NotRunReason::CrashesEndpoints, HARMFUL_RETRY_MS))
     }
 
@@ -118,13 +118,13 @@
         let work = self.fingerprint(req);
         // Whether its endpoint crashed is not decided yet.
         let is_open = self.broken.iter().any(|broken| broken.work == work);
-        if !is_open && !self.ledger.suspects_work(work) {
+        if !is_open && !self.ledger.is_suspect(work) {
             return Ok(None);
         }
         if !is_open && self.tried.insert(work) {
             return Ok(Some(work));
         }
-        let retry_ms = come_back_ms(BUSY_MS, u64::MAX, number);
+        let retry_ms = copy_retry_after_ms(BUSY_MS, u64::MAX, number);
         Err(NotRun::new(NotRunReason::UnderTrial, retry_ms))
     }
 
@@ -148,7 +148,7 @@
                 work,
             }),
             OrderReply::Answered { answer } if answer.status < 500 => {
-                if self.ledger.suspects_work(work) {
+                if self.ledger.is_suspect(work) {
                     self.tell(now, Sign::Answered { work });
                 }
             }
@@ -202,7 +202,7 @@
 
     /// Takes what another instance tells.
     pub(super) fn heard(&mut self, now: Mono, from: &Session, beat: &Heartbeat) {
-        let fresh = self.taken.fresh_from(from, beat.first_sign, &beat.signs);
+        let fresh = self.taken.new_signs_from(from, beat.first_sign, &beat.signs);
         for sign in fresh {
             self.verdicts.extend(self.ledger.take(now, *sign));
         }
--- a/crates/citronway-core/tests/admission_support/mod.rs
+++ b/crates/citronway-core/tests/admission_support/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use citronway_core::gateway::admission::{Admission, Job, Owners, Standing, View};
-use citronway_core::gateway::assignment::{Assignment, FENCES_A_MOVE, Holder, LAST_KEY, Range};
+use citronway_core::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, LAST_KEY, Range};
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::gateway::registry::{Listing, Registry};
 use citronway_core::gateway::routes::Repeat;
@@ -95,7 +95,7 @@
     pub fn move_first_to(&mut self, id: &str) {
         for owners in self.owners.values_mut() {
             let mut assignment = owners.assignment.as_ref().clone();
-            let fence = assignment.draw_fences(FENCES_A_MOVE);
+            let fence = assignment.allocate_fences(FENCES_PER_MOVE);
             if let Some(range) = assignment.ranges.first_mut() {
                 let mut next = range.holder.clone();
                 next.endpoint = EndpointStart::new(id, None);
@@ -132,8 +132,8 @@
         repeat: Repeat::AtMostOnce,
         arrived: now,
         objective_at: now.plus(600),
-        last_at: now.plus(2_000),
-        caller_until: now.plus(4_000),
+        deadline: now.plus(2_000),
+        caller_deadline: now.plus(4_000),
         work_ms: 200,
         answer_bytes: 0,
         tried: Vec::new(),
--- a/crates/citronway-core/tests/gateway_assignment.rs
+++ b/crates/citronway-core/tests/gateway_assignment.rs
@@ -1,7 +1,7 @@
 //! The stored form of an assignment.
 
 use citronway_core::gateway::assignment::{
-    Assignment, FENCES_A_MOVE, Holder, MAX_RANGES, MAX_ROW_BYTES, Range, most_ranges,
+    Assignment, FENCES_PER_MOVE, Holder, MAX_RANGES, MAX_ROW_BYTES, Range, max_ranges,
 };
 use citronway_core::ids::EndpointStart;
 use googletest::prelude::*;
@@ -104,7 +104,7 @@
         } else {
             u16::try_from((i + 1) * width - 1)?
         };
-        let fence = full.draw_fences(FENCES_A_MOVE);
+        let fence = full.allocate_fences(FENCES_PER_MOVE);
         full.ranges.push(Range {
             first,
             last,
@@ -123,7 +123,7 @@
 fn changes_lead_from_one_row_to_the_next() -> Result<()> {
     let before = some();
     let mut after = some();
-    let fence = after.draw_fences(FENCES_A_MOVE);
+    let fence = after.allocate_fences(FENCES_PER_MOVE);
     let old = after.ranges.remove(0);
     after.ranges.insert(
         0,
@@ -239,7 +239,7 @@
             } else {
                 (start(i % endpoints, 0), start((i + 7) % endpoints, 0))
             };
-            let fence = 40_000 + i as u64 * FENCES_A_MOVE;
+            let fence = 40_000 + i as u64 * FENCES_PER_MOVE;
             assignment.ranges.push(Range {
                 first: u16::try_from(first).unwrap(),
                 last: u16::try_from(after - 1).unwrap(),
@@ -267,11 +267,11 @@
     let range = |i: usize| Range {
         first: u16::try_from(i * 65_536 / endpoints).unwrap(),
         last: u16::try_from((i + 1) * 65_536 / endpoints - 1).unwrap(),
-        holder: born_holder(i, i as u64 * FENCES_A_MOVE),
+        holder: born_holder(i, i as u64 * FENCES_PER_MOVE),
         next: None,
     };
     let assignment = Assignment {
-        next_fence: endpoints as u64 * FENCES_A_MOVE,
+        next_fence: endpoints as u64 * FENCES_PER_MOVE,
         ranges: (0..endpoints).map(range).collect(),
     };
     expect_that!(assignment.to_bytes().or_fail()?.len(), le(MAX_ROW_BYTES));
@@ -297,12 +297,12 @@
     let mut ranges = Vec::new();
     for i in 0..endpoints {
         let (first, after) = (i * 65_536 / endpoints, (i + 1) * 65_536 / endpoints);
-        let fence = ((i * 7_919) % 100_000) as u64 * FENCES_A_MOVE;
+        let fence = ((i * 7_919) % 100_000) as u64 * FENCES_PER_MOVE;
         ranges.push(Range {
             first: u16::try_from(first).expect("a key"),
             last: u16::try_from(after - 1).expect("a key"),
             holder: holder(fence),
-            next: (i < moving).then(|| holder(900_000 + i as u64 * FENCES_A_MOVE)),
+            next: (i < moving).then(|| holder(900_000 + i as u64 * FENCES_PER_MOVE)),
         });
     }
     Assignment {
@@ -326,9 +326,9 @@
 #[gtest]
 fn a_service_may_have_more_ranges_than_endpoints() {
     for endpoints in [1, 600, 960, 2_500, 6_000] {
-        expect_that!(most_ranges(endpoints), ge(endpoints * 5 / 4));
+        expect_that!(max_ranges(endpoints), ge(endpoints * 5 / 4));
     }
-    expect_that!(most_ranges(600), eq(MAX_RANGES));
+    expect_that!(max_ranges(600), eq(MAX_RANGES));
 }
 
 proptest! {
--- a/crates/citronway-core/tests/gateway_cold.rs
+++ b/crates/citronway-core/tests/gateway_cold.rs
@@ -5,7 +5,7 @@
 mod random;
 
 use citronway_core::gateway::cold::{self, ColdGrant, ColdRequest, ColdSends, Office};
-use citronway_core::gateway::leader::{LeaderSettings, Rivals};
+use citronway_core::gateway::leader::{LeaderSettings, PredecessorLimits};
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::time::Mono;
 use googletest::prelude::*;
@@ -30,7 +30,7 @@
 fn alone() -> Office {
     Office {
         contact: CONFIRMED,
-        rivals: Rivals::default(),
+        rivals: PredecessorLimits::default(),
         earlier: 0,
     }
 }
@@ -208,9 +208,9 @@
     let part = |ms| cold::granted_part(replaced.plus(ms), &cfg, &office);
     expect_that!(part(0), none());
     expect_that!(part(cfg.connect_limit_ms + 100), some(eq(0.5)));
-    expect_that!(part(cfg.rival_wait_ms()), some(eq(1.0)));
+    expect_that!(part(cfg.predecessor_wait_ms()), some(eq(1.0)));
     let stopped = Office {
-        rivals: office.rivals.min(cfg.stopped_rivals(replaced)),
+        rivals: office.rivals.min(cfg.stopped_predecessor_limits(replaced)),
         ..office
     };
     let soon = replaced.plus(cfg.order_timeout_ms + 100);
--- a/crates/citronway-core/tests/gateway_crash_days.rs
+++ b/crates/citronway-core/tests/gateway_crash_days.rs
@@ -7,7 +7,7 @@
 //! five seconds and crashes whatever runs it.
 
 use citronway_core::gateway::crashes::{
-    Fingerprint, Ledger, Sign, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials, come_back_ms,
+    Fingerprint, Ledger, Sign, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials, copy_retry_after_ms,
 };
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::ids::SessionId;
@@ -226,7 +226,7 @@
     /// Whether a copy of a suspect is tried now; else it comes back or ends.
     fn may_send(&mut self, run: &mut Run) -> bool {
         run.trial = None;
-        if !self.ledger.suspects_work(run.work) {
+        if !self.ledger.is_suspect(run.work) {
             return true;
         }
         run.was_suspect = true;
@@ -245,7 +245,7 @@
             return true;
         };
         self.busy += u32::from(run.work != HARMFUL);
-        let back_ms = come_back_ms(for_ms, req.limit_ms, self.asked);
+        let back_ms = copy_retry_after_ms(for_ms, req.limit_ms, self.asked);
         if run.tries < TRIES {
             let at = self.now + back_ms;
             self.waiting.push(Waiting { at, run: *run });
--- a/crates/citronway-core/tests/gateway_crash_ledger.rs
+++ b/crates/citronway-core/tests/gateway_crash_ledger.rs
@@ -1,7 +1,7 @@
 //! Which work is taken as harmful, how long, and what an instance is told of it.
 
 use citronway_core::gateway::crashes::{
-    CRASH_COUNTS_MS, Fingerprint, HARMFUL_CRASHES, Ledger, MOST_SIGNS, Outbox, Refused, Sign,
+    CRASH_EXPIRY_MS, Fingerprint, HARMFUL_CRASHES, Ledger, MAX_SIGNS_PER_REPORT, SignQueue, Refused, Sign,
     Taken, Verdict,
 };
 use citronway_core::gateway::election::Strength;
@@ -71,9 +71,9 @@
 fn crashes_count_for_a_bounded_time() {
     let mut ledger = Ledger::default();
     let now = crash_all(&mut ledger, BAD, 0..2);
-    ledger.take(now.plus(CRASH_COUNTS_MS), crash(BAD, 9));
-    expect_that!(refuses(&ledger, now.plus(CRASH_COUNTS_MS), BAD), eq(false));
-    ledger.expire(now.plus(3 * CRASH_COUNTS_MS));
+    ledger.take(now.plus(CRASH_EXPIRY_MS), crash(BAD, 9));
+    expect_that!(refuses(&ledger, now.plus(CRASH_EXPIRY_MS), BAD), eq(false));
+    ledger.expire(now.plus(3 * CRASH_EXPIRY_MS));
     expect_that!(ledger.is_empty(), eq(true));
 }
 
@@ -172,7 +172,7 @@
     let verdicts = ledger.take(later, Sign::Answered { work: OTHER });
     expect_that!(
         verdicts,
-        elements_are![matches_pattern!(Verdict::LetGo { .. })]
+        elements_are![matches_pattern!(Verdict::Cleared { .. })]
     );
     ledger.take(later, crash(OTHER, 70));
     expect_that!(refuses(&ledger, later, OTHER), eq(false));
@@ -322,14 +322,14 @@
 #[gtest]
 fn signs_come_once_each_though_reports_are_lost_and_repeat_them() {
     let all: Vec<_> = (0..300).map(|n| crash(BAD, n)).collect();
-    let (mut outbox, mut taken) = (Outbox::default(), Taken::default());
+    let (mut outbox, mut taken) = (SignQueue::default(), Taken::default());
     for sign in &all {
         outbox.push(*sign);
     }
     let mut came = Vec::new();
     for n in 0..40 {
         let (first, signs) = outbox.take();
-        expect_that!(signs.len(), le(MOST_SIGNS));
+        expect_that!(signs.len(), le(MAX_SIGNS_PER_REPORT));
         if n % 3 != 0 {
             came.extend_from_slice(taken.fresh(&report(7, first, signs)));
         }
@@ -353,13 +353,13 @@
     let now = crash_all(&mut ledger, BAD, 0..3);
     expect_that!(refuses(&ledger, now, BAD), eq(true));
     expect_that!(ledger.harmful(now), is_empty());
-    let remembered = ledger.to_remember(now);
+    let remembered = ledger.suspects_to_store(now);
     let works: Vec<_> = remembered.iter().map(|suspect| suspect.work).collect();
     expect_that!(works, elements_are![eq(&BAD)]);
     // Once it is stored as harmful, it is no suspect.
     let settled = now.plus(2_000);
     expect_that!(ledger.harmful(settled), len(eq(1)));
-    expect_that!(ledger.to_remember(settled), is_empty());
+    expect_that!(ledger.suspects_to_store(settled), is_empty());
 }
 
 /// Guards against crashes that are counted anew once all instances have ended and started again.
@@ -367,13 +367,13 @@
 fn crashes_that_the_store_remembers_count_on() {
     let mut before = Ledger::default();
     let now = crash_all(&mut before, BAD, 0..2);
-    let stored = before.to_remember(now);
+    let stored = before.suspects_to_store(now);
     expect_that!(stored, len(eq(1)));
     let mut after = Ledger::default();
     for suspect in &stored {
         after.remember(now, suspect);
     }
-    expect_that!(after.suspects_work(BAD), eq(true));
+    expect_that!(after.is_suspect(BAD), eq(true));
     expect_that!(refuses(&after, now, BAD), eq(false));
     // The same crash, told by another instance, is no further one.
     after.take(now, crash(BAD, 1));
--- a/crates/citronway-core/tests/gateway_crash_trials.rs
+++ b/crates/citronway-core/tests/gateway_crash_trials.rs
@@ -1,8 +1,8 @@
 //! Which copy of work under suspicion is sent.
 
 use citronway_core::gateway::crashes::{
-    Fingerprint, Place, TURN_MS, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials, come_back_ms,
-    may_try_alone,
+    Fingerprint, Place, TIME_SLICE_MS, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials, copy_retry_after_ms,
+    may_try_without_leader,
 };
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::ids::SessionId;
@@ -124,13 +124,13 @@
 fn copies_come_back_after_the_trial_at_moments_of_their_own() {
     let left_ms = 3_000;
     let times: Vec<_> = (0..16)
-        .map(|number| come_back_ms(EXPECTED_MS, left_ms, number))
+        .map(|number| copy_retry_after_ms(EXPECTED_MS, left_ms, number))
         .collect();
     expect_that!(times, each(ge(&EXPECTED_MS)));
     expect_that!(times, each(le(&(EXPECTED_MS * 3 / 2))));
     let different: indexmap::IndexSet<_> = times.iter().collect();
     expect_that!(different.len(), eq(16));
-    expect_that!(come_back_ms(5_000, left_ms, 3), eq(left_ms / 3));
+    expect_that!(copy_retry_after_ms(5_000, left_ms, 3), eq(left_ms / 3));
 }
 
 /// Guards against copies that go out together, or never, where no leader answers.
@@ -139,9 +139,9 @@
     let heard = Mono(1_000);
     for of in [1, 12, 16] {
         for turn in 0..of {
-            let begins = heard.plus(turn * TURN_MS);
-            let ends = begins.plus(TURN_MS - 1);
-            let try_it = |now| (0..of).filter(move |b| may_try_alone(now, heard, place(*b, of)));
+            let begins = heard.plus(turn * TIME_SLICE_MS);
+            let ends = begins.plus(TIME_SLICE_MS - 1);
+            let try_it = |now| (0..of).filter(move |b| may_try_without_leader(now, heard, place(*b, of)));
             expect_that!(try_it(begins).collect::<Vec<_>>(), elements_are![eq(&turn)]);
             expect_that!(try_it(ends).collect::<Vec<_>>(), elements_are![eq(&turn)]);
         }
@@ -154,8 +154,8 @@
     let heard = Mono(1_000);
     for before in [0, 17, 294] {
         let turns = (0..16).filter(|turn| {
-            let now = heard.plus(turn * TURN_MS);
-            may_try_alone(now, heard, place(before, 295))
+            let now = heard.plus(turn * TIME_SLICE_MS);
+            may_try_without_leader(now, heard, place(before, 295))
         });
         expect_that!(turns.count(), eq(1));
     }
--- a/crates/citronway-core/tests/gateway_election.rs
+++ b/crates/citronway-core/tests/gateway_election.rs
@@ -219,12 +219,12 @@
 fn a_claim_that_is_taken_late_extends_the_wait_for_the_earlier_leader() {
     let cfg = LeaderSettings::default();
     let (claimed, store_ms) = (Mono(60_000), 5_000);
-    let former = [former("first", store_ms + cfg.rival_wait_ms())];
+    let former = [former("first", store_ms + cfg.predecessor_wait_ms())];
     for late_ms in [0, 400, 3_000, 6_000] {
         let now = claimed.plus(late_ms);
         let until = holds_until(now, &cfg, &former, Some(store_ms + late_ms), claimed);
         // The store may have confirmed it until this moment.
-        expect_that!(until, ge(now.plus(cfg.rival_wait_ms())), "{late_ms} ms");
+        expect_that!(until, ge(now.plus(cfg.predecessor_wait_ms())), "{late_ms} ms");
         expect_that!(until, le(cfg.rivals(now).hold_until), "{late_ms} ms");
     }
     let ended = holds_until(claimed, &cfg, &[], Some(store_ms), claimed);
--- a/crates/citronway-core/tests/gateway_leader_moves.rs
+++ b/crates/citronway-core/tests/gateway_leader_moves.rs
@@ -1,8 +1,8 @@
 //! Moves of keys: beside other leaders, and of ranges that are on their way already.
 
-use citronway_core::gateway::assignment::{Assignment, FENCES_A_MOVE, Holder, Range};
+use citronway_core::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, Range};
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Move, Order, OrderKind, OrderResult, Rivals, Span, WriteResult,
+    Action, Leader, LeaderSettings, Move, Order, OrderKind, OrderResult, PredecessorLimits, Span, WriteResult,
 };
 use citronway_core::gateway::registry::{Listing, Registry};
 use citronway_core::ids::{EndpointStart, ServiceName, Version, ZoneName};
@@ -41,7 +41,7 @@
 }
 
 impl Scene {
-    fn new(rivals: Rivals) -> Self {
+    fn new(rivals: PredecessorLimits) -> Self {
         let listings = [listing("a", 1), listing("b", 2), listing("c", 3)];
         let mut registry = Registry::default();
         for listing in &listings {
@@ -51,7 +51,7 @@
             next_fence: 1,
             ranges: Vec::new(),
         };
-        let fence = row.draw_fences(FENCES_A_MOVE);
+        let fence = row.allocate_fences(FENCES_PER_MOVE);
         row.ranges.push(Range {
             first: WHOLE.first,
             last: WHOLE.last,
@@ -112,7 +112,7 @@
 #[gtest]
 fn grants_go_on_connections_from_before_the_last_confirmation() {
     let cfg = LeaderSettings::default();
-    let mut scene = Scene::new(Rivals::default());
+    let mut scene = Scene::new(PredecessorLimits::default());
     let mut grants = 0;
     while scene.now < NOW.plus(cfg.contact_limit_ms) {
         for order in scene.step(done) {
@@ -145,7 +145,7 @@
 fn a_seal_waits_only_for_the_last_orders_of_a_leader_that_has_stopped() -> Result<()> {
     let cfg = LeaderSettings::default();
     let mut scene = Scene::new(cfg.rivals(NOW));
-    scene.leader.rival_stopped(NOW);
+    scene.leader.predecessor_stopped(NOW);
     scene.step(done);
     scene.wish(WHOLE, "b");
     let sealed = scene.first_seal().or_fail()?;
@@ -157,7 +157,7 @@
 /// Guards against an endpoint that counts as lost because its leader may not connect.
 #[gtest]
 fn orders_without_a_connection_tell_nothing_of_the_endpoint() {
-    let mut scene = Scene::new(Rivals::default());
+    let mut scene = Scene::new(PredecessorLimits::default());
     for _ in 0..200 {
         scene.step(|_| OrderResult::NotConnected);
     }
@@ -168,7 +168,7 @@
 /// Guards against keys that are given on although their holder has let go of others only.
 #[gtest]
 fn each_rest_of_a_moving_range_is_released_by_itself() {
-    let mut scene = Scene::new(Rivals::default());
+    let mut scene = Scene::new(PredecessorLimits::default());
     let held = |order: &Order| match order.kind {
         OrderKind::Release => OrderResult::Lost,
         OrderKind::Grant { .. } | OrderKind::Seal { .. } => done(order),
--- a/crates/citronway-core/tests/gateway_leader_rows.rs
+++ b/crates/citronway-core/tests/gateway_leader_rows.rs
@@ -1,8 +1,8 @@
 //! Rows that grow long: ranges of one holder are joined, full rows still move keys.
 
-use citronway_core::gateway::assignment::{Assignment, FENCES_A_MOVE, Holder, MAX_RANGES, Range};
+use citronway_core::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, MAX_RANGES, Range};
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Move, OrderKind, OrderResult, Rivals, Span, WriteResult,
+    Action, Leader, LeaderSettings, Move, OrderKind, OrderResult, PredecessorLimits, Span, WriteResult,
 };
 use citronway_core::gateway::registry::{Listing, Registry};
 use citronway_core::ids::{EndpointStart, ServiceName, Version, ZoneName};
@@ -37,7 +37,7 @@
         } else {
             (i + 1) * width - 1
         };
-        let fence = row.draw_fences(FENCES_A_MOVE);
+        let fence = row.allocate_fences(FENCES_PER_MOVE);
         row.ranges.push(Range {
             first: u16::try_from(i * width).unwrap_or(0),
             last: u16::try_from(last).unwrap_or(u16::MAX),
@@ -55,7 +55,7 @@
 fn leader(row: &Assignment) -> Leader {
     let mut leader = Leader::new(LeaderSettings::default(), ServiceName::new("batch"));
     leader.row_seen(row.clone(), Version(5));
-    leader.begin(NOW, Rivals::default());
+    leader.begin(NOW, PredecessorLimits::default());
     leader
 }
 
--- a/crates/citronway-core/tests/gateway_placement.rs
+++ b/crates/citronway-core/tests/gateway_placement.rs
@@ -4,7 +4,7 @@
 #[expect(dead_code, reason = "shared with the tests of the leader")]
 mod random;
 
-use citronway_core::gateway::assignment::{Assignment, FENCES_A_MOVE, Holder, LAST_KEY, Range};
+use citronway_core::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, LAST_KEY, Range};
 use citronway_core::gateway::keyload::KeyLoads;
 use citronway_core::gateway::leader::Span;
 use citronway_core::gateway::placement::{Place, Scene, propose};
@@ -39,7 +39,7 @@
         } else {
             first + width - 1
         };
-        let fence = row.draw_fences(FENCES_A_MOVE);
+        let fence = row.allocate_fences(FENCES_PER_MOVE);
         row.ranges.push(Range {
             first: u16::try_from(first).unwrap_or(0),
             last: u16::try_from(last).unwrap_or(LAST_KEY),
@@ -276,7 +276,7 @@
         piece.first = n * 256;
         piece.last = n * 256 + 255;
         piece.holder.endpoint = EndpointStart::new(ids[usize::from(n) % 3], None);
-        piece.holder.fence = row.draw_fences(FENCES_A_MOVE);
+        piece.holder.fence = row.allocate_fences(FENCES_PER_MOVE);
         row.ranges.push(piece);
     }
     let load = KeyLoads::new(Mono(0), 1_500.0, 1_500.0);
--- a/crates/citronway-core/tests/leader_world/mod.rs
+++ b/crates/citronway-core/tests/leader_world/mod.rs
@@ -12,7 +12,7 @@
 use citronway_core::gateway::assignment::Assignment;
 use citronway_core::gateway::keyload::KeyLoads;
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Move, Order, OrderResult, Rivals, Span, WriteResult,
+    Action, Leader, LeaderSettings, Move, Order, OrderResult, PredecessorLimits, Span, WriteResult,
 };
 use citronway_core::gateway::placement::{self, Place, Scene};
 use citronway_core::gateway::registry::{Listing, Registry};
@@ -143,7 +143,7 @@
             evacuated: false,
         };
         world.instances[0].term = 1;
-        world.instances[0].leader.begin(start, Rivals::default());
+        world.instances[0].leader.begin(start, PredecessorLimits::default());
         world
     }
 
--- a/crates/citronway-core/tests/tree_world/mod.rs
+++ b/crates/citronway-core/tests/tree_world/mod.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use citronway_core::gateway::crashes::{Fingerprint, Ledger, Outbox, Sign, Taken};
+use citronway_core::gateway::crashes::{Fingerprint, Ledger, SignQueue, Sign, Taken};
 use citronway_core::gateway::election::Strength;
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::gateway::report::{Report, Totals, Versions};
@@ -44,7 +44,7 @@
     phase_ms: u64,
     count: usize,
     ledger: Ledger,
-    outbox: Outbox,
+    outbox: SignQueue,
     taken: Taken,
 }
 
@@ -87,7 +87,7 @@
             phase_ms: rng.random_range(0..LOOK_MS / STEP_MS) * STEP_MS,
             count: 0,
             ledger: Ledger::default(),
-            outbox: Outbox::default(),
+            outbox: SignQueue::default(),
             taken: Taken::default(),
         });
         Self {
--- a/crates/citronway/src/gateway/control/crashes.rs
+++ b/crates/citronway/src/gateway/control/crashes.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use citronway_core::gateway::crashes::{
-    Fingerprint, FingerprintKey, Known, Ledger, MOST_SIGNS, Outbox, Refused, Sign, StoredCrashes,
+    Fingerprint, FingerprintKey, Known, Ledger, MAX_SIGNS_PER_REPORT, SignQueue, Refused, Sign, StoredCrashes,
     StoredSuspect, Taken, Verdict,
 };
 use citronway_core::gateway::report::{Report, Totals};
@@ -42,7 +42,7 @@
     /// Order of this instance among all.
     rank: u64,
     ledger: Ledger,
-    outbox: Outbox,
+    outbox: SignQueue,
     taken: Taken,
     row: Option<StoredCrashes>,
     version: Version,
@@ -139,7 +139,7 @@
             self.verdicts.extend(self.ledger.told(now, *refused));
         }
         for suspect in &totals.suspects {
-            self.ledger.told_suspect(now, *suspect);
+            self.ledger.apply_leader_suspect(now, *suspect);
         }
         self.refresh();
     }
@@ -197,7 +197,7 @@
     /// others have told before, and send copies of a suspect without asking. One report holds
     /// what is told, so that it does not keep news waiting.
     pub(super) fn tell_again(&mut self) {
-        for sign in self.ledger.newest_signs(MOST_SIGNS) {
+        for sign in self.ledger.newest_signs(MAX_SIGNS_PER_REPORT) {
             self.outbox.push(sign);
         }
     }
@@ -216,7 +216,7 @@
         }
         let mut refused = self.ledger.harmful(now);
         refused.sort_unstable();
-        let suspects = self.ledger.to_remember(now);
+        let suspects = self.ledger.suspects_to_store(now);
         let key = match &self.row {
             Some(row) if self.stands(now, row, &refused, &suspects) => {
                 self.lacks_since = None;
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -4,7 +4,7 @@
 use citronway_core::gateway::cold::{self, Office};
 use citronway_core::gateway::election::{self, Former, LeaderRow, PeerSight, Situation, Strength};
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Order, OrderResult, Rivals, WriteResult,
+    Action, Leader, LeaderSettings, Order, OrderResult, PredecessorLimits, WriteResult,
 };
 use citronway_core::gateway::report::Report;
 use citronway_core::ids::{ServiceName, Session, Version};
@@ -66,7 +66,7 @@
     claimed: Option<(Version, Mono)>,
     cleared: bool,
     /// What earlier leaders may still do.
-    rivals: Rivals,
+    rivals: PredecessorLimits,
     /// Why this instance is not fit to lead, as it was last logged.
     unfit_for: Option<&'static str>,
 }
@@ -88,7 +88,7 @@
             claim_after: Mono::default(),
             claimed: None,
             cleared: false,
-            rivals: Rivals::default(),
+            rivals: PredecessorLimits::default(),
             unfit_for: None,
         }
     }
@@ -249,7 +249,7 @@
     }
 
     /// What earlier leaders may still do, if none is known to have stopped.
-    fn rivals(&self, now: Mono, cluster: &Cluster) -> Rivals {
+    fn rivals(&self, now: Mono, cluster: &Cluster) -> PredecessorLimits {
         let former = self.office.as_ref().map_or(&[][..], |row| &row.former);
         let store_ms = cluster.store_ms(now);
         let claimed = self.claimed.map_or(now, |(_, at)| at);
@@ -320,7 +320,7 @@
         for service in cluster.sharded() {
             self.leaders.entry(service.clone()).or_insert_with(|| {
                 let mut leader = Leader::new(self.cfg, service);
-                leader.begin(self.contact, Rivals::default());
+                leader.begin(self.contact, PredecessorLimits::default());
                 leader
             });
         }
@@ -358,10 +358,10 @@
         };
         if office.former.iter().all(stopped) {
             self.cleared = true;
-            self.rivals = self.rivals.min(self.cfg.stopped_rivals(now));
+            self.rivals = self.rivals.min(self.cfg.stopped_predecessor_limits(now));
             log::info!(term = office.term; "earlier leaders have stopped");
             for leader in self.leaders.values_mut() {
-                leader.rival_stopped(now);
+                leader.predecessor_stopped(now);
             }
         }
     }
@@ -434,7 +434,7 @@
         let row = cluster.leader.as_ref();
         let term = row.map_or(0, |row| row.term).max(self.term) + 1;
         let store_ms = cluster.store_ms(now)?;
-        let wait_ms = self.cfg.rival_wait_ms() + CLOCK_MARGIN_MS;
+        let wait_ms = self.cfg.predecessor_wait_ms() + CLOCK_MARGIN_MS;
         let former = election::former_after(row, &peers, store_ms, wait_ms);
         let expected = row.map_or(Version(0), |row| row.version);
         let value = match own_rows::leader_value(&self.me, term, former) {
--- a/crates/citronway/src/gateway/control/trials.rs
+++ b/crates/citronway/src/gateway/control/trials.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use citronway_core::gateway::crashes::{
-    Fingerprint, Place, Sign, TURN_MS, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials,
-    may_try_alone,
+    Fingerprint, Place, Sign, TIME_SLICE_MS, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials,
+    may_try_without_leader,
 };
 use citronway_core::time::Mono;
 use citronway_wire::report::{self as datagram, Datagram};
@@ -174,12 +174,12 @@
         let known = self.cluster.crashes.known();
         let heard = known.suspects.get(&work).copied().unwrap_or(now);
         let place = self.place_among_peers(work);
-        let may_send = self.trials.is_alone(now) && may_try_alone(now, heard, place);
+        let may_send = self.trials.is_alone(now) && may_try_without_leader(now, heard, place);
         log::info!(work:%, may_send; "no leader answers about a trial");
         if may_send {
             TrialGrant::Granted
         } else {
-            TrialGrant::Busy { for_ms: TURN_MS }
+            TrialGrant::Busy { for_ms: TIME_SLICE_MS }
         }
     }
 
--- a/crates/citronway/src/gateway/metrics.rs
+++ b/crates/citronway/src/gateway/metrics.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use citronway_core::gateway::admission::{DoubtReason, RefusalReason};
+use citronway_core::gateway::admission::{UnknownOutcomeReason, RefusalReason};
 use citronway_core::gateway::cold::ColdGrant;
 use citronway_core::gateway::crashes::{TrialGrant, Verdict};
 use citronway_core::gateway::leader::{OrderKind, OrderResult};
@@ -33,7 +33,7 @@
     /// Refused without having run.
     NotRun(RefusalReason),
     /// It may have run.
-    MayHaveRun(DoubtReason),
+    MayHaveRun(UnknownOutcomeReason),
     /// It could not be accepted.
     Rejected,
 }
@@ -335,7 +335,7 @@
     pub(super) fn judged(&self, verdict: &Verdict) {
         let verdict = match verdict {
             Verdict::Harmful { .. } => "harmful",
-            Verdict::LetGo { .. } => "let_go",
+            Verdict::Cleared { .. } => "let_go",
         };
         self.judged.get_or_create(&JudgedLabels { verdict }).inc();
     }
--- a/crates/citronway/src/gateway/traffic/forwarding.rs
+++ b/crates/citronway/src/gateway/traffic/forwarding.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use citronway_core::gateway::admission::{
-    Choice, Decision, DoubtReason, Job, Refusal, RefusalReason,
+    Choice, Decision, UnknownOutcomeReason, Job, Refusal, RefusalReason,
 };
 use citronway_core::gateway::assignment::Range;
 use citronway_core::gateway::crashes::Fingerprint;
@@ -212,10 +212,10 @@
         self.run_by.push(choice.endpoint);
         if crashed == Look::CrashedAgain {
             let cause = "the endpoint crashed";
-            return Some(Outcome::Unknown(DoubtReason::Crashed, cause));
+            return Some(Outcome::Unknown(UnknownOutcomeReason::Crashed, cause));
         }
         if !self.may_run_again() || !self.may_send_again(now) {
-            return Some(Outcome::Unknown(DoubtReason::Broken, doubt.cause()));
+            return Some(Outcome::Unknown(UnknownOutcomeReason::Broken, doubt.cause()));
         }
         None
     }
@@ -294,7 +294,7 @@
     }
 
     fn has_time(&self, now: Mono) -> bool {
-        now.plus(MIN_LEFT_MS) < self.job.last_at
+        now.plus(MIN_LEFT_MS) < self.job.deadline
     }
 
     fn may_run_again(&self) -> bool {
@@ -311,7 +311,7 @@
         if self.run_by.is_empty() {
             return Outcome::NotRun(refusal);
         }
-        Outcome::Unknown(DoubtReason::Broken, "no other endpoint has room")
+        Outcome::Unknown(UnknownOutcomeReason::Broken, "no other endpoint has room")
     }
 
     /// Ends a request that has no answer when the instance ends.
@@ -323,7 +323,7 @@
             return stopping();
         }
         let cause = "the instance stopped before the endpoint answered";
-        Outcome::Unknown(DoubtReason::Stopped, cause)
+        Outcome::Unknown(UnknownOutcomeReason::Stopped, cause)
     }
 
     /// Ends a request whose last send was refused.
@@ -336,7 +336,7 @@
 
     async fn send(&mut self, choice: &Choice) -> Sent {
         let started = clock::mono();
-        let left_ms = self.job.last_at.since(started);
+        let left_ms = self.job.deadline.since(started);
         if left_ms < MIN_LEFT_MS {
             return Sent::TooLate;
         }
@@ -398,7 +398,7 @@
     async fn exchange(&mut self, choice: &Choice) -> Result<Exchanged, CallError> {
         let mut link = self.link(choice).await?;
         let now = clock::mono();
-        let left_ms = self.job.last_at.since(now);
+        let left_ms = self.job.deadline.since(now);
         let req = self.message.for_endpoint(&choice.endpoint, left_ms);
         self.sends += 1;
         self.open.reach(now, Stage::AtEndpoint);
--- a/crates/citronway/src/gateway/traffic/outcome.rs
+++ b/crates/citronway/src/gateway/traffic/outcome.rs
@@ -1,7 +1,7 @@
 //! How a request ended, and the answer that its caller gets.
 
 use bytes::Bytes;
-use citronway_core::gateway::admission::{DoubtReason, Refusal, RefusalReason, STOPPING_RETRY_MS};
+use citronway_core::gateway::admission::{UnknownOutcomeReason, Refusal, RefusalReason, STOPPING_RETRY_MS};
 use citronway_core::gateway::crashes::Fingerprint;
 use citronway_core::time::Mono;
 use citronway_platform::exchange;
@@ -29,7 +29,7 @@
     /// The same: its work is known to crash endpoints, and coming back does not help.
     Harmful(Fingerprint),
     /// It may have run; the reason for metrics, the cause for logs and the caller.
-    Unknown(DoubtReason, &'static str),
+    Unknown(UnknownOutcomeReason, &'static str),
     /// Its time ended; it may have run.
     TimedOut,
     /// It cannot be accepted as it is.
@@ -44,7 +44,7 @@
             Self::NotRun(refusal) => Ended::NotRun(refusal.reason),
             Self::Harmful(_) => Ended::NotRun(RefusalReason::CrashesEndpoints),
             Self::Unknown(reason, _) => Ended::MayHaveRun(*reason),
-            Self::TimedOut => Ended::MayHaveRun(DoubtReason::Timeout),
+            Self::TimedOut => Ended::MayHaveRun(UnknownOutcomeReason::Timeout),
             Self::Rejected(..) => Ended::Rejected,
         }
     }
--- a/crates/citronway/src/gateway/traffic/pool.rs
+++ b/crates/citronway/src/gateway/traffic/pool.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use citronway_core::gateway::admission::{Choice, SURE_IDLE_MS};
+use citronway_core::gateway::admission::{Choice, AT_MOST_ONCE_IDLE_MS};
 use citronway_core::gateway::routes::Repeat;
 use citronway_core::ids::EndpointStart;
 use citronway_core::time::Mono;
@@ -54,7 +54,7 @@
             // One that was used a moment ago is not forgotten yet.
             let fresh = match repeat {
                 Repeat::Idempotent => true,
-                Repeat::AtMostOnce => now.since(kept.since) < SURE_IDLE_MS,
+                Repeat::AtMostOnce => now.since(kept.since) < AT_MOST_ONCE_IDLE_MS,
             };
             if fresh && now < kept.usable_until && kept.link.is_usable() {
                 return Some(kept.link);
--- a/crates/citronway/src/gateway/traffic/suspicion.rs
+++ b/crates/citronway/src/gateway/traffic/suspicion.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use citronway_core::gateway::admission::{Choice, DoubtReason, Refusal, RefusalReason};
+use citronway_core::gateway::admission::{Choice, UnknownOutcomeReason, Refusal, RefusalReason};
 use citronway_core::gateway::crashes::{
-    Fingerprint, Known, TrialEnd, TrialGrant, Work, come_back_ms,
+    Fingerprint, Known, TrialEnd, TrialGrant, Work, copy_retry_after_ms,
 };
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::time::Mono;
@@ -75,7 +75,7 @@
         if self.run_by.is_empty() {
             return Outcome::Harmful(work);
         }
-        Outcome::Unknown(DoubtReason::Crashed, "endpoints that run it crash")
+        Outcome::Unknown(UnknownOutcomeReason::Crashed, "endpoints that run it crash")
     }
 
     /// Tells a crash of the endpoint from a connection that was cut.
@@ -116,7 +116,7 @@
     pub(super) async fn take_trial(&mut self) -> Option<Refusal> {
         let work = self.suspect()?;
         let number = self.state.ticket();
-        let limit_ms = self.job.last_at.since(clock::mono());
+        let limit_ms = self.job.deadline.since(clock::mono());
         let state = Rc::clone(self.state);
         // Dropped without a grant, it gives back what a late one took.
         let trial = Trial {
@@ -135,10 +135,10 @@
         };
         let request = shown_id(self.words.id.as_ref());
         log::info!(request, work:%, busy_ms = for_ms; "another copy of the work is being tried");
-        let left_ms = self.job.caller_until.since(clock::mono());
+        let left_ms = self.job.caller_deadline.since(clock::mono());
         Some(Refusal {
             reason: RefusalReason::UnderTrial,
-            retry_after_ms: come_back_ms(for_ms, left_ms, number),
+            retry_after_ms: copy_retry_after_ms(for_ms, left_ms, number),
         })
     }
 
--- a/crates/citronway/src/observe.rs
+++ b/crates/citronway/src/observe.rs
@@ -170,6 +170,6 @@
         } => {
             log::warn!(work:%, times, crashes, refused_ms; "work is taken as harmful");
         }
-        Verdict::LetGo { work, cause } => log::info!(work:%, cause; "work is let go"),
+        Verdict::Cleared { work, cause } => log::info!(work:%, cause; "work is let go"),
     }
 }
