--- a/crates/citronway-core/benches/gateway_crashes.rs
+++ b/crates/citronway-core/benches/gateway_crashes.rs
@@ -6,7 +6,7 @@
 use std::hint::black_box;
 
 use citronway_core::gateway::crashes::{
-    Fingerprint, FingerprintKey, Known, Ledger, Sign, TrialId, TrialRequest, Trials, Work,
+    CrashSnapshot, Fingerprint, FingerprintKey, Ledger, Sign, TrialId, TrialRequest, Trials, Work,
 };
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::ids::SessionId;
@@ -21,11 +21,11 @@
 
 fn request(c: &mut Criterion) {
     let key = FingerprintKey::new([7; 16]);
-    let nothing = Known::default();
+    let nothing = CrashSnapshot::default();
     c.bench_function("request, nothing under suspicion", |b| {
         b.iter(|| black_box(&nothing).refused.is_empty());
     });
-    let known = full().known(Some(key), 0);
+    let known = full().snapshot(Some(key), 0);
     for bytes in BODIES {
         let body = vec![9; bytes];
         let work = Work {
@@ -58,7 +58,7 @@
 fn full() -> Ledger {
     let mut ledger = Ledger::default();
     for n in 0..FULL {
-        ledger.take(Mono(u64::from(n)), crash(n));
+        ledger.apply(Mono(u64::from(n)), crash(n));
     }
     ledger
 }
@@ -66,12 +66,12 @@
 fn table(c: &mut Criterion) {
     let now = Mono(u64::from(FULL));
     c.bench_function("a crash of new work, full table", |b| {
-        let take = |mut ledger: Ledger| ledger.take(now, crash(FULL + 8));
+        let take = |mut ledger: Ledger| ledger.apply(now, crash(FULL + 8));
         b.iter_batched(full, take, BatchSize::LargeInput);
     });
     let ledger = full();
     c.bench_function("what the traffic goes by, full table", |b| {
-        b.iter(|| black_box(&ledger).known(None, 0));
+        b.iter(|| black_box(&ledger).snapshot(None, 0));
     });
 }
 
@@ -88,7 +88,7 @@
 }
 
 fn trials(c: &mut Criterion) {
-    let known = full().known(None, 0);
+    let known = full().snapshot(None, 0);
     c.bench_function("a look at a suspect, full table", |b| {
         b.iter(|| known.suspects(black_box(Fingerprint(7))));
     });
--- a/crates/citronway-core/src/gateway/admission/choose.rs
+++ b/crates/citronway-core/src/gateway/admission/choose.rs
@@ -1,6 +1,6 @@
 //! The endpoint for a request, if one has room.
 
-use crate::gateway::admission::{Admission, Choice, Job, RefusalReason, Standing, View};
+use crate::gateway::admission::{Admission, Choice, Job, RefusalReason, ReportedLoad, View};
 use crate::gateway::assignment::Range;
 use crate::gateway::pace::EndpointTag;
 use crate::gateway::registry::Known;
@@ -79,7 +79,7 @@
 /// The range that holds the key of a job.
 pub(super) fn range_of<'a>(view: &'a View, job: &Job) -> Option<&'a Range> {
     let owners = view.owners.get(&job.service)?;
-    owners.assignment.at(job.key?)
+    owners.assignment.range_at(job.key?)
 }
 
 impl Admission {
@@ -266,7 +266,7 @@
             wanted: in_flight + waiting,
         };
         let places = share::places(known.listing.slots);
-        let standing = view.standings.get(&tag);
+        let standing = view.reported_loads.get(&tag);
         if let Some(sum) = standing.filter(|standing| standing.is_sum) {
             let all_in_flight = in_flight + still_in_flight(sum.in_flight, work_ms);
             let all_waiting = waiting + sum.waiting;
@@ -280,8 +280,8 @@
 
     /// Time until a request would be done there, in units of an average request.
     fn load(&self, now: Mono, view: &View, known: &Known, tag: EndpointTag) -> f64 {
-        let unknown = Standing::unknown();
-        let standing = view.standings.get(&tag).unwrap_or(&unknown);
+        let unknown = ReportedLoad::unknown();
+        let standing = view.reported_loads.get(&tag).unwrap_or(&unknown);
         let in_flight = self.in_flight.get(&tag).copied().unwrap_or_default();
         let used = f64::from(in_flight + standing.in_flight) / f64::from(known.listing.slots);
         let cold = if known.is_cold(now) {
@@ -289,7 +289,7 @@
         } else {
             1.0
         };
-        let failing = 1.0 / (1.0 - standing.failing.min(0.9));
+        let failing = 1.0 / (1.0 - standing.failure_ratio.min(0.9));
         let far = if known.listing.zone == view.zone {
             0.0
         } else {
@@ -370,8 +370,8 @@
 /// Part of all requests that an endpoint is to get beside others: what it can do, and less of
 /// it from another zone.
 fn weight(now: Mono, view: &View, known: &Known, tag: EndpointTag) -> f64 {
-    let unknown = Standing::unknown();
-    let standing = view.standings.get(&tag).unwrap_or(&unknown);
+    let unknown = ReportedLoad::unknown();
+    let standing = view.reported_loads.get(&tag).unwrap_or(&unknown);
     let cold = if known.is_cold(now) {
         COLD_SLOWNESS
     } else {
@@ -382,7 +382,7 @@
     } else {
         OTHER_ZONE_WEIGHT
     };
-    let well = 1.0 - standing.failing.min(0.9);
+    let well = 1.0 - standing.failure_ratio.min(0.9);
     f64::from(known.listing.slots) * well * far / (standing.slowness * cold)
 }
 
@@ -427,8 +427,8 @@
 /// Time until a request with `ahead` before it would get its turn, in milliseconds.
 pub(super) fn expected_wait_ms(view: &View, job: &Job, ahead: u32) -> u64 {
     let tag = Admission::queue_key(view, job);
-    let unknown = Standing::unknown();
-    let standing = view.standings.get(&tag).unwrap_or(&unknown);
+    let unknown = ReportedLoad::unknown();
+    let standing = view.reported_loads.get(&tag).unwrap_or(&unknown);
     let slots = match range_of(view, job) {
         Some(range) => view
             .registry
--- a/crates/citronway-core/src/gateway/admission/job.rs
+++ b/crates/citronway-core/src/gateway/admission/job.rs
@@ -121,7 +121,7 @@
 
     /// Word for logs, metrics and answers.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no_configuration",
             Self::UnusableRoute => "unusable_route",
@@ -157,7 +157,7 @@
 
     /// Word for logs and metrics.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Broken => "broken",
             Self::Timeout => "timeout",
--- a/crates/citronway-core/src/gateway/admission/mod.rs
+++ b/crates/citronway-core/src/gateway/admission/mod.rs
@@ -21,9 +21,9 @@
 use choose::Finding;
 use kept::Kept;
 
-pub use job::{Choice, Decision, UnknownOutcomeReason, Job, Refusal, RefusalReason};
+pub use job::{Choice, Decision, Job, Refusal, RefusalReason, UnknownOutcomeReason};
 pub use kept::AT_MOST_ONCE_IDLE_MS;
-pub use view::{Owners, Standing, View};
+pub use view::{Owners, ReportedLoad, View};
 
 /// Shortest time to come back that a refused caller is told, in milliseconds.
 const MIN_RETRY_MS: u64 = 60;
@@ -103,8 +103,10 @@
     /// Decides about a request that has just come or comes back after a failed send.
     ///
     /// `None` while it waits; [`Admission::pump`] decides about it later.
-    pub fn arrive(&mut self, now: Mono, view: &View, mut job: Job) -> Option<Decision> {
-        job.deadline = self.ends_at.map_or(job.deadline, |end| job.deadline.min(end));
+    pub fn submit(&mut self, now: Mono, view: &View, mut job: Job) -> Option<Decision> {
+        job.deadline = self
+            .ends_at
+            .map_or(job.deadline, |end| job.deadline.min(end));
         let queue_key = Self::queue_key(view, &job);
         let ahead = self.ahead(queue_key, job.priority);
         let found = if ahead > 0 {
@@ -125,7 +127,7 @@
     }
 
     /// Looks through those that wait; returns all that are decided.
-    pub fn pump(&mut self, now: Mono, view: &View) -> Vec<(u64, Decision)> {
+    pub fn decide_waiting(&mut self, now: Mono, view: &View) -> Vec<(u64, Decision)> {
         let mut decided = Vec::new();
         let mut jobs = std::mem::take(&mut self.waiting);
         jobs.sort_by_key(|job| urgency(now, job));
@@ -170,7 +172,7 @@
     /// lost, and their connections end with the process without an answer. With the
     /// end of the process as the end of their time, those that will not get their turn
     /// are refused, and their callers go to another instance.
-    pub fn end_by(&mut self, end: Mono) {
+    pub fn limit_deadlines(&mut self, end: Mono) {
         self.ends_at = Some(end);
         for job in &mut self.waiting {
             job.deadline = job.deadline.min(end);
@@ -195,12 +197,12 @@
     }
 
     /// Takes a request out whose caller has left.
-    pub fn forget(&mut self, ticket: u64) {
+    pub fn remove(&mut self, ticket: u64) {
         self.waiting.retain(|job| job.ticket != ticket);
     }
 
     /// Notes that a request is no longer in flight at the endpoint.
-    pub fn finished(&mut self, endpoint: &EndpointStart) {
+    pub fn record_finished(&mut self, endpoint: &EndpointStart) {
         let tag = EndpointTag::of(endpoint);
         let Some(count) = self.in_flight.get_mut(&tag) else {
             return;
@@ -213,7 +215,7 @@
     }
 
     /// Notes that the endpoint took no connection or fell silent.
-    pub fn failed(&mut self, now: Mono, endpoint: &EndpointStart) {
+    pub fn record_failure(&mut self, now: Mono, endpoint: &EndpointStart) {
         self.avoid(now, endpoint, AVOID_MS);
     }
 
@@ -222,7 +224,7 @@
     /// Failure: keys in demand come to a new owner, and all instances send there before
     /// they know of each other. It resets what is beyond its limit, work that may not be
     /// repeated is then lost, and the rest is sent again at once.
-    pub fn reset(&mut self, now: Mono, endpoint: &EndpointStart) {
+    pub fn record_reset(&mut self, now: Mono, endpoint: &EndpointStart) {
         self.avoid(now, endpoint, RESET_MS);
     }
 
@@ -240,19 +242,19 @@
     }
 
     /// Notes that a cold endpoint is to get nothing until then: others use what it can do.
-    pub fn cold_busy(&mut self, endpoint: &EndpointStart, until: Mono) {
+    pub fn hold_back_cold(&mut self, endpoint: &EndpointStart, until: Mono) {
         self.cold_busy.insert(EndpointTag::of(endpoint), until);
     }
 
     /// Takes an answer of a service without keys, and what the endpoint said of its load.
-    pub fn load_told(&mut self, view: &View, service: &ServiceName, load: Option<EndpointLoad>) {
+    pub fn record_load(&mut self, view: &View, service: &ServiceName, load: Option<EndpointLoad>) {
         let in_flight = self.in_flight_at(view, service);
         let limit = self.limits.entry(service.clone()).or_default();
         limit.answered(load, in_flight);
     }
 
     /// Notes that an endpoint of a service without keys had no room for a request.
-    pub fn turned_away(&mut self, now: Mono, view: &View, service: &ServiceName) {
+    pub fn record_rejection(&mut self, now: Mono, view: &View, service: &ServiceName) {
         let in_flight = self.in_flight_at(view, service);
         let limit = self.limits.entry(service.clone()).or_default();
         limit.turned_away(now, in_flight);
@@ -266,7 +268,7 @@
     }
 
     /// Notes that the endpoint answered a request that it ran.
-    pub fn answered(&mut self, now: Mono, choice: &Choice, key: Option<u16>) {
+    pub fn record_answer(&mut self, now: Mono, choice: &Choice, key: Option<u16>) {
         let tag = EndpointTag::of(&choice.endpoint);
         self.avoided.swap_remove(&tag);
         self.kept.idle(now, tag);
@@ -279,7 +281,7 @@
     }
 
     /// Notes that another process has the endpoint's address: it has ended.
-    pub fn gone(&mut self, now: Mono, endpoint: &EndpointStart) {
+    pub fn record_replaced(&mut self, now: Mono, endpoint: &EndpointStart) {
         let for_ms = GONE_MS;
         let until = now.plus(for_ms);
         self.avoided
@@ -287,7 +289,7 @@
     }
 
     /// Notes that the endpoint does not hold the keys that were granted by `fence`.
-    pub fn not_held(&mut self, now: Mono, view: &View, job: &Job, fence: u64) {
+    pub fn record_not_held(&mut self, now: Mono, view: &View, job: &Job, fence: u64) {
         let Some(range) = choose::range_of(view, job) else {
             return;
         };
@@ -305,7 +307,7 @@
     }
 
     /// Takes a new view: notes which owners are new.
-    pub fn view_changed(&mut self, now: Mono, view: &View) {
+    pub fn update_view(&mut self, now: Mono, view: &View) {
         let mut seen = IndexMap::with_capacity(self.fences.len());
         let mut moving = IndexMap::new();
         for owners in view.owners.values() {
@@ -327,7 +329,7 @@
     }
 
     /// Requests in flight and waiting for each endpoint, for the next report.
-    pub fn uses(&self) -> impl Iterator<Item = (EndpointTag, u32, u32)> {
+    pub fn usage(&self) -> impl Iterator<Item = (EndpointTag, u32, u32)> {
         let in_flight = self
             .in_flight
             .iter()
@@ -342,7 +344,7 @@
 
     /// Number of requests that wait.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
--- a/crates/citronway-core/src/gateway/admission/view.rs
+++ b/crates/citronway-core/src/gateway/admission/view.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 use crate::gateway::assignment::Assignment;
-use crate::gateway::crashes::Known;
+use crate::gateway::crashes::CrashSnapshot;
 use crate::gateway::pace::EndpointTag;
 use crate::gateway::registry::Registry;
 use crate::gateway::routes::RouteTable;
@@ -22,7 +22,7 @@
     /// Owners of the keys of each sharded service.
     pub owners: IndexMap<ServiceName, Owners>,
     /// What is known of each endpoint's load.
-    pub standings: IndexMap<EndpointTag, Standing>,
+    pub reported_loads: IndexMap<EndpointTag, ReportedLoad>,
     /// Availability zone of this instance.
     pub zone: ZoneName,
     /// Order of this instance among all; the same everywhere.
@@ -30,18 +30,18 @@
     /// Instances that share the load, this one included.
     pub instances: u32,
     /// What is known of requests that crash endpoints.
-    pub crashes: Arc<Known>,
+    pub crashes: Arc<CrashSnapshot>,
 }
 
 impl View {
     /// What an instance knows when it starts: nothing.
     #[must_use]
-    pub fn nothing(zone: ZoneName, rank: u64) -> Self {
+    pub fn empty(zone: ZoneName, rank: u64) -> Self {
         Self {
             routes: None,
             registry: Arc::default(),
             owners: IndexMap::new(),
-            standings: IndexMap::new(),
+            reported_loads: IndexMap::new(),
             zone,
             rank,
             instances: 1,
@@ -61,7 +61,7 @@
 
 /// Load of an endpoint as all instances report it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Standing {
+pub struct ReportedLoad {
     /// What each other instance has there or wants to send.
     pub others: Vec<Demand>,
     /// Requests of others in flight there.
@@ -73,10 +73,10 @@
     /// Time that it takes, relative to an average endpoint.
     pub slowness: f64,
     /// Share of its requests that it fails or refuses.
-    pub failing: f64,
+    pub failure_ratio: f64,
 }
 
-impl Standing {
+impl ReportedLoad {
     /// An endpoint of which nothing is known.
     #[must_use]
     pub fn unknown() -> Self {
--- a/crates/citronway-core/src/gateway/assignment/mod.rs
+++ b/crates/citronway-core/src/gateway/assignment/mod.rs
@@ -102,14 +102,14 @@
 
     /// The range that holds `key`, if there are ranges at all.
     #[must_use]
-    pub fn at(&self, key: u16) -> Option<&Range> {
+    pub fn range_at(&self, key: u16) -> Option<&Range> {
         let i = self.ranges.partition_point(|range| range.last < key);
         self.ranges.get(i)
     }
 
     /// Endpoints that hold a range.
     #[must_use]
-    pub fn holders(&self) -> usize {
+    pub fn holder_count(&self) -> usize {
         let holders = self.ranges.iter().map(|range| &range.holder.endpoint);
         holders.collect::<IndexSet<_>>().len()
     }
@@ -129,7 +129,7 @@
     /// the new starts of them all. The store refuses a longer row, so no move ends, and keys
     /// of endpoints that have left are served by nobody.
     #[must_use]
-    pub fn fits(&self) -> bool {
+    pub fn fits_in_store(&self) -> bool {
         self.to_bytes()
             .is_ok_and(|bytes| bytes.len() <= MAX_ROW_BYTES)
     }
@@ -141,7 +141,7 @@
     ///
     /// Only if the library cannot write it.
     pub fn changes_since(&self, before: &Self) -> Result<Vec<u8>, RowError> {
-        let is_new = |range: &&Range| before.at(range.first) != Some(*range);
+        let is_new = |range: &&Range| before.range_at(range.first) != Some(*range);
         let changed = Self {
             next_fence: self.next_fence,
             ranges: self.ranges.iter().filter(is_new).cloned().collect(),
--- a/crates/citronway-core/src/gateway/crashes/known.rs
+++ b/crates/citronway-core/src/gateway/crashes/known.rs
@@ -7,7 +7,7 @@
 
 /// What is known of crashes, as the traffic goes by it.
 #[derive(Debug, Clone, Default)]
-pub struct Known {
+pub struct CrashSnapshot {
     /// Key of fingerprints; none until the stored row was seen.
     pub key: Option<FingerprintKey>,
     /// Harmful work, and until when it is refused.
@@ -17,16 +17,16 @@
     pub suspects: IndexMap<Fingerprint, Mono>,
 }
 
-impl Known {
+impl CrashSnapshot {
     /// Whether work is refused.
     #[must_use]
-    pub fn refuses(&self, now: Mono, work: Fingerprint) -> bool {
+    pub fn is_refused(&self, now: Mono, work: Fingerprint) -> bool {
         self.refused.get(&work).is_some_and(|until| now < *until)
     }
 
     /// Whether work was at an endpoint that crashed, and was not answered since.
     #[must_use]
-    pub fn suspects(&self, work: Fingerprint) -> bool {
+    pub fn is_suspect(&self, work: Fingerprint) -> bool {
         self.suspects.contains_key(&work)
     }
 }
--- a/crates/citronway-core/src/gateway/crashes/ledger.rs
+++ b/crates/citronway-core/src/gateway/crashes/ledger.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 use super::entry::{Crash, Entry, State};
-use super::{Fingerprint, FingerprintKey, Known, Refused, Sign};
+use super::{CrashSnapshot, Fingerprint, FingerprintKey, RefusedWork, Sign};
 use crate::gateway::pace::EndpointTag;
 use crate::time::Mono;
 
@@ -103,7 +103,7 @@
 
 impl Ledger {
     /// Takes what this or another instance saw; tells what changes for callers.
-    pub fn take(&mut self, now: Mono, sign: Sign) -> Vec<Verdict> {
+    pub fn apply(&mut self, now: Mono, sign: Sign) -> Vec<Verdict> {
         match sign {
             Sign::Crash { work, endpoint } => self.crashed(now, work, endpoint),
             Sign::Answered { work } => self.answered(now, work).into_iter().collect(),
@@ -203,7 +203,7 @@
 
     /// Whether work is refused.
     #[must_use]
-    pub fn refuses(&self, now: Mono, work: Fingerprint) -> bool {
+    pub fn is_refused(&self, now: Mono, work: Fingerprint) -> bool {
         let state = self.entries.get(&work).map(|entry| entry.state);
         state.is_some_and(|state| matches!(state, State::Refused { until, .. } if now < until))
     }
@@ -224,8 +224,8 @@
     }
 
     /// Takes what the leader or the store says of harmful work.
-    pub fn told(&mut self, now: Mono, refused: Refused) -> Option<Verdict> {
-        let Refused { work, times } = refused;
+    pub fn apply_refused(&mut self, now: Mono, refused: RefusedWork) -> Option<Verdict> {
+        let RefusedWork { work, times } = refused;
         let let_go = self.let_go.get(&work);
         if times == 0 || let_go.is_some_and(|(known, _)| times <= *known) {
             return None;
@@ -308,14 +308,14 @@
 
     /// Harmful work that is to be told of and stored, the newest first.
     #[must_use]
-    pub fn harmful(&self, now: Mono) -> Vec<Refused> {
+    pub fn harmful(&self, now: Mono) -> Vec<RefusedWork> {
         let settled = self.entries.iter().filter_map(|(work, entry)| {
             let State::Refused { since, times, .. } = entry.state else {
                 return None;
             };
             let settled = entry.was_told || times > 1 || now.since(since) >= SETTLED_MS;
             let (work, times) = (*work, times);
-            settled.then_some((since, Refused { work, times }))
+            settled.then_some((since, RefusedWork { work, times }))
         });
         let mut settled: Vec<_> = settled.collect();
         settled.sort_by_key(|(since, refused)| (std::cmp::Reverse(*since), refused.work));
@@ -373,12 +373,12 @@
     /// caller repeats it at once at other instances, which have not heard of the crash yet. So
     /// they do not try it again at the same moment.
     #[must_use]
-    pub fn known(&self, key: Option<FingerprintKey>, rank: u64) -> Known {
+    pub fn snapshot(&self, key: Option<FingerprintKey>, rank: u64) -> CrashSnapshot {
         let refused = self
             .entries
             .iter()
             .filter_map(|(work, entry)| Some((*work, refused_until(*work, entry.state, rank)?)));
-        Known {
+        CrashSnapshot {
             key,
             refused: refused.collect(),
             suspects: self
--- a/crates/citronway-core/src/gateway/crashes/mod.rs
+++ b/crates/citronway-core/src/gateway/crashes/mod.rs
@@ -20,11 +20,11 @@
 mod trials;
 
 pub use fingerprint::{Fingerprint, FingerprintKey, KeyError, Work};
-pub use known::Known;
+pub use known::CrashSnapshot;
 pub use ledger::{CRASH_EXPIRY_MS, HARMFUL_CRASHES, Ledger, MAX_REFUSED, MAX_SUSPECTS, Verdict};
-pub use sign::{MAX_SIGNS_PER_REPORT, SignQueue, Sign, Taken};
-pub use stored::{Refused, StoredCrashes, StoredSuspect};
+pub use sign::{MAX_SIGNS_PER_REPORT, Sign, SignQueue, SignReceiver};
+pub use stored::{RefusedWork, StoredCrashes, StoredSuspect};
 pub use trials::{
-    Place, TIME_SLICE_MS, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials, copy_retry_after_ms,
-    may_try_without_leader,
+    InstancePosition, TIME_SLICE_MS, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials,
+    copy_retry_after_ms, may_try_without_leader,
 };
--- a/crates/citronway-core/src/gateway/crashes/remembered.rs
+++ b/crates/citronway-core/src/gateway/crashes/remembered.rs
@@ -7,7 +7,7 @@
 impl Ledger {
     /// Takes a suspect that the store remembers, at a start; it tells no loss of machines, and
     /// its crashes count from now.
-    pub fn remember(&mut self, now: Mono, suspect: &StoredSuspect) {
+    pub fn restore_suspect(&mut self, now: Mono, suspect: &StoredSuspect) {
         if !self.has_room(suspect.work) {
             return;
         }
--- a/crates/citronway-core/src/gateway/crashes/sign.rs
+++ b/crates/citronway-core/src/gateway/crashes/sign.rs
@@ -55,7 +55,7 @@
 
     /// Whether the next report would be the first that carries a sign.
     #[must_use]
-    pub fn has_news(&self) -> bool {
+    pub fn has_unsent(&self) -> bool {
         let mut next = self.waiting.iter().take(MAX_SIGNS_PER_REPORT);
         next.any(|(_, left)| *left == REPEATS)
     }
@@ -79,17 +79,17 @@
 
 /// How far the signs of other instances were taken.
 #[derive(Debug, Default)]
-pub struct Taken {
+pub struct SignReceiver {
     /// By instance: which start, and the number of the next sign.
     next: IndexMap<InstanceName, (SessionId, u64)>,
 }
 
-impl Taken {
+impl SignReceiver {
     /// Signs of a report that are new.
     ///
     /// Failure guarded against: a sign is told several times, and one that an answer has
     /// settled since is taken again. Each counts once, by its number.
-    pub fn fresh<'a>(&mut self, report: &'a Report) -> &'a [Sign] {
+    pub fn new_signs<'a>(&mut self, report: &'a Report) -> &'a [Sign] {
         let from = Session {
             instance: report.instance.clone(),
             id: report.session,
@@ -98,7 +98,12 @@
     }
 
     /// The same for signs of any message; `first` is the number of the first of them.
-    pub fn new_signs_from<'a>(&mut self, from: &Session, first: u64, signs: &'a [Sign]) -> &'a [Sign] {
+    pub fn new_signs_from<'a>(
+        &mut self,
+        from: &Session,
+        first: u64,
+        signs: &'a [Sign],
+    ) -> &'a [Sign] {
         if signs.is_empty() {
             return &[];
         }
--- a/crates/citronway-core/src/gateway/crashes/stored.rs
+++ b/crates/citronway-core/src/gateway/crashes/stored.rs
@@ -12,7 +12,7 @@
     pub key: FingerprintKey,
     /// Work that is refused, or was and is tried again.
     #[serde(default)]
-    pub refused: Vec<Refused>,
+    pub refused: Vec<RefusedWork>,
     /// Work under suspicion. An instance of an earlier version writes none.
     #[serde(default)]
     pub suspects: Vec<StoredSuspect>,
@@ -41,7 +41,7 @@
 
 /// Work that was taken as harmful.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Refused {
+pub struct RefusedWork {
     /// Which work.
     pub work: Fingerprint,
     /// How often it was taken as harmful.
--- a/crates/citronway-core/src/gateway/crashes/trials.rs
+++ b/crates/citronway-core/src/gateway/crashes/trials.rs
@@ -82,7 +82,7 @@
         endpoint: EndpointTag,
     },
     /// It did not run, or it is not known.
-    Open,
+    Inconclusive,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -107,7 +107,7 @@
     /// Failure guarded against: the leader changes while a copy is being tried, and the next
     /// one, which knows nothing of it, grants another.
     #[must_use]
-    pub fn of_new_leader(now: Mono) -> Self {
+    pub fn for_new_leader(now: Mono) -> Self {
         Self {
             not_before: now.plus(FORMER_TRIAL_MS),
             ..Self::default()
@@ -142,7 +142,7 @@
     }
 
     /// Notes the end of a trial.
-    pub fn ended(&mut self, now: Mono, id: TrialId, work: Fingerprint, end: TrialEnd) {
+    pub fn record_end(&mut self, now: Mono, id: TrialId, work: Fingerprint, end: TrialEnd) {
         if self.open.get(&work).is_some_and(|open| open.id == id) {
             self.open.swap_remove(&work);
         }
@@ -153,7 +153,7 @@
     }
 
     /// Notes that an endpoint crashed with the work: an earlier answer no longer clears it.
-    pub fn crashed(&mut self, work: Fingerprint) {
+    pub fn record_crash(&mut self, work: Fingerprint) {
         self.cleared.swap_remove(&work);
     }
 
@@ -186,11 +186,11 @@
 
 /// Order of an instance among those that it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct InstancePosition {
     /// Instances that come before it.
     pub before: u64,
     /// Instances, itself included.
-    pub of: u64,
+    pub total: u64,
 }
 
 /// Whether an instance may try work without the leader; `heard` is when the last crash of
@@ -200,7 +200,7 @@
 /// was beside harmful work is refused until one does. All instances hear of a crash within a
 /// fraction of a turn, so no two of them with different turns try the work together.
 #[must_use]
-pub fn may_try_without_leader(now: Mono, heard: Mono, place: Place) -> bool {
-    let turns = place.of.clamp(1, MOST_TURNS);
+pub fn may_try_without_leader(now: Mono, heard: Mono, place: InstancePosition) -> bool {
+    let turns = place.total.clamp(1, MOST_TURNS);
     now.since(heard) / TIME_SLICE_MS % turns == place.before % turns
 }
--- a/crates/citronway-core/src/gateway/election.rs
+++ b/crates/citronway-core/src/gateway/election.rs
@@ -312,9 +312,9 @@
 ) -> Mono {
     let Some(free_at_ms) = former.iter().map(|former| former.free_at_ms).max() else {
         // All have ended; the last hold was given before.
-        return cfg.end_of_hold(now);
+        return cfg.latest_hold_end(now);
     };
-    let longest = cfg.rivals(now).hold_until;
+    let longest = cfg.predecessor_limits(now).hold_until;
     let Some(store_ms) = store_ms else {
         return longest;
     };
--- a/crates/citronway-core/src/gateway/leader/mod.rs
+++ b/crates/citronway-core/src/gateway/leader/mod.rs
@@ -113,7 +113,7 @@
     /// Takes office after the row has been read again.
     ///
     /// `contact` is when the confirming call was sent.
-    pub fn begin(&mut self, contact: Mono, rivals: PredecessorLimits) {
+    pub fn begin_term(&mut self, contact: Mono, rivals: PredecessorLimits) {
         self.tenure = Some(Tenure { contact, rivals });
         self.writing = false;
         self.takeover = Takeover::Begins;
@@ -125,13 +125,13 @@
     }
 
     /// Leaves office at once.
-    pub fn end(&mut self) {
+    pub fn end_term(&mut self) {
         self.tenure = None;
     }
 
     /// Whether this instance leads the service.
     #[must_use]
-    pub const fn in_office(&self) -> bool {
+    pub const fn is_leading(&self) -> bool {
         self.tenure.is_some()
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Takes the row as it stands in the store; older versions are ignored.
-    pub fn row_seen(&mut self, row: Assignment, version: Version) {
+    pub fn update_row(&mut self, row: Assignment, version: Version) {
         if version < self.version {
             return;
         }
@@ -200,7 +200,7 @@
     /// Starts moves; those that do not fit the row as it stands are left out, and so are the
     /// last ones where the store would not take the row. Returns how many were left out for
     /// that.
-    pub fn start(&mut self, moves: &[Move], registry: &Registry) -> usize {
+    pub fn start_moves(&mut self, moves: &[Move], registry: &Registry) -> usize {
         if self.writing || self.wanted.is_some() || self.tenure.is_none() {
             return 0;
         }
@@ -221,7 +221,7 @@
             };
             changed |= moves::begin(&mut row, wish.span, &known.listing);
         }
-        if changed && !row.fits() {
+        if changed && !row.fits_in_store() {
             return false;
         }
         if changed {
@@ -231,7 +231,7 @@
     }
 
     /// Divides all keys evenly by slots among `endpoints`, where no row exists yet.
-    pub fn found(&mut self, endpoints: &[&crate::gateway::registry::Listing]) {
+    pub fn create_assignment(&mut self, endpoints: &[&crate::gateway::registry::Listing]) {
         let idle = !self.writing && self.wanted.is_none() && self.tenure.is_some();
         if !idle || !self.row.ranges.is_empty() || endpoints.is_empty() {
             return;
@@ -293,7 +293,7 @@
     }
 
     /// Takes the outcome of the write that is under way.
-    pub fn wrote(&mut self, now: Mono, result: WriteResult) {
+    pub fn handle_write_result(&mut self, now: Mono, result: WriteResult) {
         self.writing = false;
         match result {
             WriteResult::Done(row, version) => {
@@ -301,7 +301,7 @@
                 // time; each write is a call and an answered poll, and is told to all.
                 let gap_ms = self.cfg.write_gap_ms + row.ranges.len() as u64 / RANGES_A_MS;
                 self.write_after = now.plus(gap_ms);
-                self.row_seen(row, version);
+                self.update_row(row, version);
             }
             // The row that stands arrives by the feed or with the conflict.
             WriteResult::Conflict => self.write_after = now.plus(self.cfg.retry_ms),
--- a/crates/citronway-core/src/gateway/leader/moves.rs
+++ b/crates/citronway-core/src/gateway/leader/moves.rs
@@ -57,7 +57,7 @@
         // No row has to have fewer.
         return MAX_RANGES;
     }
-    assignment::max_ranges(row.holders())
+    assignment::max_ranges(row.holder_count())
 }
 
 /// Cuts the span out of its range and starts its move; false if it does not fit.
@@ -324,9 +324,9 @@
 
     fn grant_answered(&mut self, now: Mono, order: &Order, result: &OrderResult) {
         let ok = matches!(result, OrderResult::Done { .. });
-        if result.nothing_sent() {
+        if result.is_unsent() {
             // The order before it was given up by now and may still arrive.
-            let end = self.cfg.end_of_hold(now.plus(self.cfg.late_ms));
+            let end = self.cfg.latest_hold_end(now.plus(self.cfg.late_arrival_ms));
             self.holds
                 .not_sent(&order.endpoint, order.span, order.fence, end);
         } else {
@@ -422,7 +422,7 @@
     };
     let until = now.plus(limit_ms);
     Order {
-        until,
+        deadline: until,
         connect_by: until,
         service: leader.service.clone(),
         endpoint: holder.endpoint.clone(),
--- a/crates/citronway-core/src/gateway/leader/orders.rs
+++ b/crates/citronway-core/src/gateway/leader/orders.rs
@@ -55,7 +55,7 @@
     /// Which call.
     pub kind: OrderKind,
     /// Then the call is given up and its connection closed.
-    pub until: Mono,
+    pub deadline: Mono,
     /// The call goes only on a connection that was made by then.
     ///
     /// Failure guarded against: a leader that was replaced while it could not reach the store
@@ -108,7 +108,7 @@
 impl OrderResult {
     /// Whether it is certain that the endpoint got nothing.
     #[must_use]
-    pub const fn nothing_sent(&self) -> bool {
+    pub const fn is_unsent(&self) -> bool {
         match self {
             Self::NotSent | Self::TooLate | Self::NotConnected => true,
             Self::Done { .. } | Self::Stale | Self::NotThere | Self::Lost => false,
--- a/crates/citronway-core/src/gateway/leader/settings.rs
+++ b/crates/citronway-core/src/gateway/leader/settings.rs
@@ -23,7 +23,7 @@
     /// Failure: a full endpoint takes a connection late, and what was sent before the
     /// call was given up is read then. Its hold runs from there, and the next owner gets
     /// the keys before it ends.
-    pub late_ms: u64,
+    pub late_arrival_ms: u64,
     /// Time after which an unanswered release counts as lost: it is answered when the
     /// work on its keys has ended, and the longest takes about three seconds at a slow
     /// endpoint.
@@ -53,7 +53,7 @@
             hold_ms: 3_500,
             renew_ms: 1_000,
             order_timeout_ms: 400,
-            late_ms: 250,
+            late_arrival_ms: 250,
             release_timeout_ms: 4_000,
             retry_ms: 250,
             write_gap_ms: 40,
@@ -69,26 +69,26 @@
     ///
     /// The endpoint's clock may run 2% slow.
     #[must_use]
-    pub const fn end_of_hold(&self, arrival: Mono) -> Mono {
+    pub const fn latest_hold_end(&self, arrival: Mono) -> Mono {
         arrival.plus(self.hold_ms + self.hold_ms / 50 + TIMER_MARGIN_MS)
     }
 
     /// Latest end of a hold that is given by an order of `decided`.
     #[must_use]
     pub const fn end_of_order(&self, decided: Mono) -> Mono {
-        self.end_of_hold(decided.plus(self.order_timeout_ms + self.late_ms))
+        self.latest_hold_end(decided.plus(self.order_timeout_ms + self.late_arrival_ms))
     }
 
     pub(super) const fn call_times(&self, decided: Mono) -> CallTimes {
         CallTimes {
-            arrival: decided.plus(self.order_timeout_ms + self.late_ms),
+            arrival: decided.plus(self.order_timeout_ms + self.late_arrival_ms),
             end: self.end_of_order(decided),
         }
     }
 
     /// What an earlier leader, replaced at `replaced`, may still do.
     #[must_use]
-    pub const fn rivals(&self, replaced: Mono) -> PredecessorLimits {
+    pub const fn predecessor_limits(&self, replaced: Mono) -> PredecessorLimits {
         PredecessorLimits {
             connect_until: replaced.plus(self.connect_limit_ms + TIMER_MARGIN_MS),
             hold_until: replaced.plus(self.predecessor_wait_ms()),
--- a/crates/citronway-core/src/gateway/report.rs
+++ b/crates/citronway-core/src/gateway/report.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::gateway::crashes::{Fingerprint, Refused, Sign};
+use crate::gateway::crashes::{Fingerprint, RefusedWork, Sign};
 use crate::gateway::election::Strength;
 use crate::gateway::pace::{Answers, EndpointTag};
 use crate::gateway::rows::{Row, Table};
@@ -167,7 +167,7 @@
     /// Estimates for endpoints that are not average; a part of them each time.
     pub paces: Vec<EndpointPace>,
     /// Work that was taken as harmful.
-    pub refused: Vec<Refused>,
+    pub refused: Vec<RefusedWork>,
     /// Work that was at several endpoints that crashed.
     pub suspects: Vec<Fingerprint>,
     /// To a delegate: instances to which it passes this on.
--- a/crates/citronway-core/src/node/crashes.rs
+++ b/crates/citronway-core/src/node/crashes.rs
@@ -9,7 +9,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::gateway::crashes::{
-    Fingerprint, FingerprintKey, Ledger, SignQueue, Sign, Taken, Verdict, copy_retry_after_ms,
+    Fingerprint, FingerprintKey, Ledger, Sign, SignQueue, SignReceiver, Verdict,
+    copy_retry_after_ms,
 };
 use crate::gateway::pace::EndpointTag;
 use crate::ids::{EndpointName, Session};
@@ -58,7 +59,7 @@
     session: u64,
     ledger: Ledger,
     outbox: SignQueue,
-    taken: Taken,
+    taken: SignReceiver,
     broken: VecDeque<Broken>,
     ends: IndexMap<EndpointName, Ends>,
     /// Work under suspicion that a dispatcher of this instance has.
@@ -186,13 +187,13 @@
     }
 
     fn tell(&mut self, now: Mono, sign: Sign) {
-        self.verdicts.extend(self.ledger.take(now, sign));
+        self.verdicts.extend(self.ledger.apply(now, sign));
         self.outbox.push(sign);
     }
 
     /// Whether there are signs that no heartbeat has told yet.
     pub(super) fn has_news(&self) -> bool {
-        self.outbox.has_news()
+        self.outbox.has_unsent()
     }
 
     /// Signs for the next heartbeat, and the number of the first.
@@ -202,9 +203,11 @@
 
     /// Takes what another instance tells.
     pub(super) fn heard(&mut self, now: Mono, from: &Session, beat: &Heartbeat) {
-        let fresh = self.taken.new_signs_from(from, beat.first_sign, &beat.signs);
+        let fresh = self
+            .taken
+            .new_signs_from(from, beat.first_sign, &beat.signs);
         for sign in fresh {
-            self.verdicts.extend(self.ledger.take(now, *sign));
+            self.verdicts.extend(self.ledger.apply(now, *sign));
         }
     }
 
--- a/crates/citronway-core/tests/admission_support/mod.rs
+++ b/crates/citronway-core/tests/admission_support/mod.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use citronway_core::gateway::admission::{Admission, Job, Owners, Standing, View};
+use citronway_core::gateway::admission::{Admission, Job, Owners, ReportedLoad, View};
 use citronway_core::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, LAST_KEY, Range};
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::gateway::registry::{Listing, Registry};
@@ -17,7 +17,7 @@
 pub struct Scene {
     registry: Registry,
     pub owners: IndexMap<ServiceName, Owners>,
-    pub standings: IndexMap<EndpointTag, Standing>,
+    pub standings: IndexMap<EndpointTag, ReportedLoad>,
 }
 
 fn listing(id: &str, service: &str, zone: &str, port: u16) -> Listing {
@@ -107,17 +107,17 @@
     }
 
     pub fn view(&self) -> View {
-        let mut view = View::nothing(ZoneName::new("here"), 1);
+        let mut view = View::empty(ZoneName::new("here"), 1);
         view.registry = Arc::new(self.registry.clone());
         view.owners.clone_from(&self.owners);
-        view.standings.clone_from(&self.standings);
+        view.reported_loads.clone_from(&self.standings);
         view
     }
 
     /// An admission that has known the owners for a while.
     pub fn admission(&self, now: Mono) -> Admission {
         let mut admission = Admission::default();
-        admission.view_changed(now.minus(1_000), &self.view());
+        admission.update_view(now.minus(1_000), &self.view());
         admission
     }
 }
--- a/crates/citronway-core/tests/gateway_admission.rs
+++ b/crates/citronway-core/tests/gateway_admission.rs
@@ -3,7 +3,7 @@
 mod admission_support;
 
 use admission_support::{Scene, job, keyed};
-use citronway_core::gateway::admission::{Admission, Decision, Job, RefusalReason, Standing};
+use citronway_core::gateway::admission::{Admission, Decision, Job, RefusalReason, ReportedLoad};
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::gateway::share::{Demand, places};
 use citronway_core::ids::{EndpointStart, ZoneName};
@@ -15,7 +15,7 @@
 fn endpoint(decision: Option<&Decision>) -> String {
     match decision {
         Some(Decision::Send(choice)) => choice.endpoint.to_string(),
-        Some(Decision::Refuse(refusal)) => refusal.reason.word().to_owned(),
+        Some(Decision::Refuse(refusal)) => refusal.reason.as_str().to_owned(),
         None => "waits".to_owned(),
     }
 }
@@ -25,7 +25,7 @@
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     for (ticket, key, owner) in [(1, 0, "a"), (2, 30_000, "a"), (3, 40_000, "b")] {
-        let decision = admission.arrive(NOW, &scene.view(), keyed(ticket, key, NOW));
+        let decision = admission.submit(NOW, &scene.view(), keyed(ticket, key, NOW));
         expect_that!(endpoint(decision.as_ref()), eq(owner));
     }
 }
@@ -35,10 +35,10 @@
     let mut scene = Scene::new();
     scene.owners.clear();
     let mut admission = scene.admission(NOW);
-    let decision = admission.arrive(NOW, &scene.view(), keyed(1, 0, NOW));
+    let decision = admission.submit(NOW, &scene.view(), keyed(1, 0, NOW));
     expect_that!(endpoint(decision.as_ref()), eq("waits"));
     let late = NOW.plus(1_950);
-    let decided = admission.pump(late, &scene.view());
+    let decided = admission.decide_waiting(late, &scene.view());
     expect_that!(endpoint(decided.first().map(|(_, v)| v)), eq("key_unowned"));
 }
 
@@ -48,10 +48,10 @@
 fn a_new_owner_is_given_time_for_its_grant() {
     let scene = Scene::new();
     let mut admission = Admission::default();
-    admission.view_changed(NOW, &scene.view());
-    let decision = admission.arrive(NOW.plus(2), &scene.view(), keyed(1, 0, NOW));
+    admission.update_view(NOW, &scene.view());
+    let decision = admission.submit(NOW.plus(2), &scene.view(), keyed(1, 0, NOW));
     expect_that!(endpoint(decision.as_ref()), eq("waits"));
-    let decided = admission.pump(NOW.plus(30), &scene.view());
+    let decided = admission.decide_waiting(NOW.plus(30), &scene.view());
     expect_that!(endpoint(decided.first().map(|(_, v)| v)), eq("a"));
 }
 
@@ -62,15 +62,15 @@
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     let first = keyed(1, 0, NOW);
-    let sent = admission.arrive(NOW, &scene.view(), first.clone());
+    let sent = admission.submit(NOW, &scene.view(), first.clone());
     expect_that!(endpoint(sent.as_ref()), eq("a"));
-    admission.not_held(NOW, &scene.view(), &first, 8);
-    admission.finished(&EndpointStart::new("a", None));
+    admission.record_not_held(NOW, &scene.view(), &first, 8);
+    admission.record_finished(&EndpointStart::new("a", None));
     for ticket in 2..6 {
-        let decision = admission.arrive(NOW, &scene.view(), keyed(ticket, 1, NOW));
+        let decision = admission.submit(NOW, &scene.view(), keyed(ticket, 1, NOW));
         expect_that!(endpoint(decision.as_ref()), eq("waits"));
     }
-    let decided = admission.pump(NOW.plus(60), &scene.view());
+    let decided = admission.decide_waiting(NOW.plus(60), &scene.view());
     expect_that!(decided.len(), eq(1));
 }
 
@@ -79,7 +79,7 @@
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     let verdicts: Vec<_> = (0..30)
-        .map(|ticket| admission.arrive(NOW, &scene.view(), keyed(ticket, 0, NOW)))
+        .map(|ticket| admission.submit(NOW, &scene.view(), keyed(ticket, 0, NOW)))
         .collect();
     let sends = verdicts
         .iter()
@@ -97,21 +97,21 @@
         rank: 99,
         wanted: 30,
     };
-    let standing = Standing {
+    let standing = ReportedLoad {
         others: vec![other],
         in_flight: 4,
         waiting: 26,
-        ..Standing::unknown()
+        ..ReportedLoad::unknown()
     };
     scene
         .standings
         .insert(EndpointTag::of(&EndpointStart::new("a", None)), standing);
     let mut admission = scene.admission(NOW);
     for ticket in 0..30 {
-        let _ = admission.arrive(NOW, &scene.view(), keyed(ticket, 0, NOW));
+        let _ = admission.submit(NOW, &scene.view(), keyed(ticket, 0, NOW));
     }
-    let _ = admission.pump(NOW, &scene.view());
-    let sent: u32 = admission.uses().map(|(_, in_flight, _)| in_flight).sum();
+    let _ = admission.decide_waiting(NOW, &scene.view());
+    let sent: u32 = admission.usage().map(|(_, in_flight, _)| in_flight).sum();
     expect_that!(sent, all!(ge(3), le(5)));
 }
 
@@ -122,13 +122,13 @@
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     for ticket in 0..20 {
-        let _ = admission.arrive(NOW, &scene.view(), keyed(ticket, 0, NOW));
+        let _ = admission.submit(NOW, &scene.view(), keyed(ticket, 0, NOW));
     }
     let mut urgent = keyed(100, 0, NOW);
     urgent.priority = 0;
-    expect_that!(admission.arrive(NOW, &scene.view(), urgent), none());
-    admission.finished(&EndpointStart::new("a", None));
-    let decided = admission.pump(NOW.plus(10), &scene.view());
+    expect_that!(admission.submit(NOW, &scene.view(), urgent), none());
+    admission.record_finished(&EndpointStart::new("a", None));
+    let decided = admission.decide_waiting(NOW.plus(10), &scene.view());
     expect_that!(decided.first().map(|(ticket, _)| *ticket), some(eq(100)));
 }
 
@@ -140,7 +140,7 @@
     let mut admission = scene.admission(NOW);
     let mut refused = Vec::new();
     for ticket in 0..200 {
-        match admission.arrive(NOW, &scene.view(), keyed(ticket, 0, NOW)) {
+        match admission.submit(NOW, &scene.view(), keyed(ticket, 0, NOW)) {
             Some(Decision::Refuse(refusal)) => refused.push(refusal),
             Some(Decision::Send(_)) | None => {}
         }
@@ -160,15 +160,15 @@
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     for ticket in 0..12 {
-        let _ = admission.arrive(NOW, &scene.view(), keyed(ticket, 0, NOW));
+        let _ = admission.submit(NOW, &scene.view(), keyed(ticket, 0, NOW));
     }
     let later = NOW.plus(500);
     expect_that!(
-        admission.arrive(later, &scene.view(), keyed(50, 0, later)),
+        admission.submit(later, &scene.view(), keyed(50, 0, later)),
         none()
     );
-    admission.finished(&EndpointStart::new("a", None));
-    let decided = admission.pump(later, &scene.view());
+    admission.record_finished(&EndpointStart::new("a", None));
+    let decided = admission.decide_waiting(later, &scene.view());
     expect_that!(decided.first().map(|(ticket, _)| *ticket), some(eq(50)));
 }
 
@@ -178,7 +178,7 @@
     let mut admission = scene.admission(NOW);
     let mut sent = std::collections::BTreeMap::new();
     for ticket in 0..10 {
-        let decision = admission.arrive(NOW, &scene.view(), job(ticket, NOW));
+        let decision = admission.submit(NOW, &scene.view(), job(ticket, NOW));
         *sent.entry(endpoint(decision.as_ref())).or_insert(0) += 1;
     }
     // `near` is in this zone, `far1` and `far2` are not; each has six slots.
@@ -192,7 +192,7 @@
     scene.drain("near");
     let mut admission = scene.admission(NOW);
     for ticket in 0..10 {
-        let decision = admission.arrive(NOW, &scene.view(), job(ticket, NOW));
+        let decision = admission.submit(NOW, &scene.view(), job(ticket, NOW));
         expect_that!(endpoint(decision.as_ref()), not(eq("near")));
     }
 }
@@ -203,11 +203,11 @@
 fn a_silent_endpoint_is_left_alone() {
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
-    let first = admission.arrive(NOW, &scene.view(), job(1, NOW));
+    let first = admission.submit(NOW, &scene.view(), job(1, NOW));
     expect_that!(endpoint(first.as_ref()), eq("near"));
     let later = NOW.plus(1_000);
     for ticket in 2..8 {
-        let decision = admission.arrive(later, &scene.view(), job(ticket, later));
+        let decision = admission.submit(later, &scene.view(), job(ticket, later));
         expect_that!(endpoint(decision.as_ref()), not(eq("near")));
     }
 }
@@ -216,10 +216,10 @@
 fn an_endpoint_that_takes_no_connection_is_tried_again_later() {
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
-    admission.failed(NOW, &EndpointStart::new("a", None));
-    let decision = admission.arrive(NOW, &scene.view(), keyed(1, 0, NOW));
+    admission.record_failure(NOW, &EndpointStart::new("a", None));
+    let decision = admission.submit(NOW, &scene.view(), keyed(1, 0, NOW));
     expect_that!(endpoint(decision.as_ref()), eq("waits"));
-    let decided = admission.pump(NOW.plus(260), &scene.view());
+    let decided = admission.decide_waiting(NOW.plus(260), &scene.view());
     expect_that!(endpoint(decided.first().map(|(_, v)| v)), eq("a"));
 }
 
@@ -228,11 +228,11 @@
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     for ticket in 0..12 {
-        let _ = admission.arrive(NOW, &scene.view(), keyed(ticket, 0, NOW));
+        let _ = admission.submit(NOW, &scene.view(), keyed(ticket, 0, NOW));
     }
-    expect_that!(admission.waiting(), eq(3));
-    admission.forget(10);
-    expect_that!(admission.waiting(), eq(2));
+    expect_that!(admission.waiting_count(), eq(3));
+    admission.remove(10);
+    expect_that!(admission.waiting_count(), eq(2));
 }
 
 /// An instance stops while a request waits for an owner that has no room. Its
@@ -242,17 +242,20 @@
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     for ticket in 0..u64::from(places(6)) {
-        admission.arrive(NOW, &scene.view(), keyed(ticket, 0, NOW));
+        admission.submit(NOW, &scene.view(), keyed(ticket, 0, NOW));
     }
-    let waits = admission.arrive(NOW, &scene.view(), keyed(90, 0, NOW));
+    let waits = admission.submit(NOW, &scene.view(), keyed(90, 0, NOW));
     expect_that!(endpoint(waits.as_ref()), eq("waits"));
     let end = NOW.plus(1_000);
-    admission.end_by(end);
-    expect_that!(admission.pump(NOW.plus(700), &scene.view()), is_empty());
-    let decided = admission.pump(end.minus(200), &scene.view());
+    admission.limit_deadlines(end);
+    expect_that!(
+        admission.decide_waiting(NOW.plus(700), &scene.view()),
+        is_empty()
+    );
+    let decided = admission.decide_waiting(end.minus(200), &scene.view());
     expect_that!(decided.len(), eq(1));
     expect_that!(endpoint(decided.first().map(|(_, v)| v)), eq("overloaded"));
-    let late = admission.arrive(end.minus(100), &scene.view(), keyed(91, 0, NOW));
+    let late = admission.submit(end.minus(100), &scene.view(), keyed(91, 0, NOW));
     expect_that!(endpoint(late.as_ref()), eq("overloaded"));
 }
 
@@ -264,12 +267,12 @@
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     let end = NOW.plus(5_000);
-    admission.end_by(end);
+    admission.limit_deadlines(end);
     // Five in six of its works of 200 ms take up to 320 ms.
-    let in_time = admission.arrive(end.minus(330), &scene.view(), keyed(1, 0, NOW.plus(4_000)));
+    let in_time = admission.submit(end.minus(330), &scene.view(), keyed(1, 0, NOW.plus(4_000)));
     expect_that!(endpoint(in_time.as_ref()), eq("a"));
     for job in [keyed(2, 0, NOW.plus(4_000)), job(3, NOW.plus(4_000))] {
-        let late = admission.arrive(end.minus(310), &scene.view(), job);
+        let late = admission.submit(end.minus(310), &scene.view(), job);
         expect_that!(endpoint(late.as_ref()), eq("stopping"));
     }
 }
@@ -281,15 +284,18 @@
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     let a = EndpointStart::new("a", None);
-    admission.reset(NOW, &a);
-    let waits = admission.arrive(NOW.plus(10), &scene.view(), keyed(1, 0, NOW));
+    admission.record_reset(NOW, &a);
+    let waits = admission.submit(NOW.plus(10), &scene.view(), keyed(1, 0, NOW));
     expect_that!(endpoint(waits.as_ref()), eq("waits"));
-    let decided = admission.pump(NOW.plus(60), &scene.view());
+    let decided = admission.decide_waiting(NOW.plus(60), &scene.view());
     expect_that!(endpoint(decided.first().map(|(_, v)| v)), eq("a"));
     // The second time it is left alone for longer.
-    admission.reset(NOW.plus(61), &a);
-    admission.arrive(NOW.plus(62), &scene.view(), keyed(2, 0, NOW));
-    expect_that!(admission.pump(NOW.plus(130), &scene.view()), is_empty());
+    admission.record_reset(NOW.plus(61), &a);
+    admission.submit(NOW.plus(62), &scene.view(), keyed(2, 0, NOW));
+    expect_that!(
+        admission.decide_waiting(NOW.plus(130), &scene.view()),
+        is_empty()
+    );
 }
 
 /// A range is on its way to another endpoint. Its holder lets go within milliseconds, and
@@ -299,11 +305,11 @@
     let mut scene = Scene::new();
     let mut admission = scene.admission(NOW);
     scene.move_first_to("b");
-    admission.view_changed(NOW, &scene.view());
-    let decision = admission.arrive(NOW.plus(5), &scene.view(), keyed(1, 0, NOW));
+    admission.update_view(NOW, &scene.view());
+    let decision = admission.submit(NOW.plus(5), &scene.view(), keyed(1, 0, NOW));
     expect_that!(endpoint(decision.as_ref()), eq("waits"));
     // The leader cannot reach the holder; others may.
-    let decided = admission.pump(NOW.plus(1_000), &scene.view());
+    let decided = admission.decide_waiting(NOW.plus(1_000), &scene.view());
     expect_that!(endpoint(decided.first().map(|(_, v)| v)), eq("a"));
 }
 
@@ -320,7 +326,7 @@
                 answer_bytes,
                 ..job(ticket, NOW)
             };
-            let decision = admission.arrive(NOW, &scene.view(), job);
+            let decision = admission.submit(NOW, &scene.view(), job);
             found.push(endpoint(decision.as_ref()));
         }
         expect_that!(found.iter().any(|name| name != "near"), eq(crossing));
@@ -340,11 +346,11 @@
         let mut names = Vec::new();
         for ticket in 0..12 {
             let now = NOW.plus(ticket * idle_ms);
-            let decision = admission.arrive(now, &view, job(ticket, now));
+            let decision = admission.submit(now, &view, job(ticket, now));
             names.push(endpoint(decision.as_ref()));
             if let Some(Decision::Send(choice)) = decision {
-                admission.answered(now, &choice, None);
-                admission.finished(&choice.endpoint);
+                admission.record_answer(now, &choice, None);
+                admission.record_finished(&choice.endpoint);
             }
         }
         names.dedup();
@@ -359,11 +365,11 @@
 fn a_sum_of_all_keeps_an_endpoint_from_being_overrun() {
     let mut scene = Scene::new();
     let tag = EndpointTag::of(&EndpointStart::new("a", None));
-    let sum = |in_flight, waiting| Standing {
+    let sum = |in_flight, waiting| ReportedLoad {
         in_flight,
         waiting,
         is_sum: true,
-        ..Standing::unknown()
+        ..ReportedLoad::unknown()
     };
     scene.standings.insert(tag, sum(0, 89));
     let mut view = scene.view();
@@ -375,7 +381,7 @@
         for (rank, served) in served.iter_mut().enumerate() {
             view.rank = rank as u64;
             let mut admission = scene.admission(now);
-            let decision = admission.arrive(now, &view, keyed(1, 0, now));
+            let decision = admission.submit(now, &view, keyed(1, 0, now));
             let went = matches!(decision, Some(Decision::Send(_)));
             sent += u64::from(went);
             *served += u64::from(went);
@@ -389,7 +395,7 @@
         let now = NOW.plus(turn * 200);
         let verdict = scene
             .admission(now)
-            .arrive(now, &scene.view(), keyed(1, 0, now));
+            .submit(now, &scene.view(), keyed(1, 0, now));
         expect_that!(endpoint(verdict.as_ref()), eq("waits"));
     }
 }
--- a/crates/citronway-core/tests/gateway_assignment.rs
+++ b/crates/citronway-core/tests/gateway_assignment.rs
@@ -48,9 +48,12 @@
 fn each_key_has_its_range() {
     let assignment = some();
     for (key, first) in [(0, 0), (99, 0), (100, 100), (u16::MAX, 100)] {
-        expect_that!(assignment.at(key).map(|range| range.first), some_eq(first));
+        expect_that!(
+            assignment.range_at(key).map(|range| range.first),
+            some_eq(first)
+        );
     }
-    expect_that!(Assignment::default().at(5), none());
+    expect_that!(Assignment::default().range_at(5), none());
 }
 
 fn some_eq(first: u16) -> impl Matcher<Option<u16>> {
--- a/crates/citronway-core/tests/gateway_cold.rs
+++ b/crates/citronway-core/tests/gateway_cold.rs
@@ -81,7 +81,7 @@
     fn add_rival(&mut self, now: Mono, contact: Mono) {
         let office = Office {
             contact,
-            rivals: LeaderSettings::default().rivals(now),
+            rivals: LeaderSettings::default().predecessor_limits(now),
             earlier: u32::try_from(self.leaders.len()).unwrap(),
         };
         self.leaders.push(ColdSends::of_new_leader(now));
@@ -202,7 +202,7 @@
     let replaced = Mono(50_000);
     let office = Office {
         contact: CONFIRMED,
-        rivals: cfg.rivals(replaced),
+        rivals: cfg.predecessor_limits(replaced),
         earlier: 1,
     };
     let part = |ms| cold::granted_part(replaced.plus(ms), &cfg, &office);
--- a/crates/citronway-core/tests/gateway_crash_days.rs
+++ b/crates/citronway-core/tests/gateway_crash_days.rs
@@ -7,7 +7,8 @@
 //! five seconds and crashes whatever runs it.
 
 use citronway_core::gateway::crashes::{
-    Fingerprint, Ledger, Sign, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials, copy_retry_after_ms,
+    Fingerprint, Ledger, Sign, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials,
+    copy_retry_after_ms,
 };
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::ids::SessionId;
@@ -191,7 +192,7 @@
         run.tries += 1;
         let innocent = run.work != HARMFUL;
         self.tries += u32::from(innocent);
-        if self.ledger.refuses(now, run.work) {
+        if self.ledger.is_refused(now, run.work) {
             self.refused += u32::from(innocent);
             return;
         }
@@ -258,10 +259,10 @@
             return;
         };
         if matches!(end, TrialEnd::Crashed { .. }) {
-            trials.crashed(run.work);
+            trials.record_crash(run.work);
         }
         if let Some(number) = run.trial {
-            trials.ended(Mono(self.now), trial_id(number), run.work, end);
+            trials.record_end(Mono(self.now), trial_id(number), run.work, end);
         }
     }
 
@@ -304,7 +305,7 @@
                 }
                 self.end_trial(&run, TrialEnd::Answered);
                 let work = run.work;
-                self.ledger.take(Mono(now), Sign::Answered { work });
+                self.ledger.apply(Mono(now), Sign::Answered { work });
             }
         }
     }
@@ -323,7 +324,7 @@
         for run in std::mem::take(&mut self.endpoints[at].runs) {
             let work = run.work;
             self.end_trial(&run, TrialEnd::Crashed { endpoint: tag });
-            self.ledger.take(
+            self.ledger.apply(
                 Mono(now),
                 Sign::Crash {
                     work,
--- a/crates/citronway-core/tests/gateway_crash_ledger.rs
+++ b/crates/citronway-core/tests/gateway_crash_ledger.rs
@@ -1,8 +1,8 @@
 //! Which work is taken as harmful, how long, and what an instance is told of it.
 
 use citronway_core::gateway::crashes::{
-    CRASH_EXPIRY_MS, Fingerprint, HARMFUL_CRASHES, Ledger, MAX_SIGNS_PER_REPORT, SignQueue, Refused, Sign,
-    Taken, Verdict,
+    CRASH_EXPIRY_MS, Fingerprint, HARMFUL_CRASHES, Ledger, MAX_SIGNS_PER_REPORT, RefusedWork, Sign,
+    SignQueue, SignReceiver, Verdict,
 };
 use citronway_core::gateway::election::Strength;
 use citronway_core::gateway::pace::EndpointTag;
@@ -23,7 +23,7 @@
 }
 
 fn refuses(ledger: &Ledger, now: Mono, work: Fingerprint) -> bool {
-    ledger.refuses(now, work)
+    ledger.is_refused(now, work)
 }
 
 /// Crashes that many endpoints with one work, seconds apart; returns when.
@@ -31,7 +31,7 @@
     let mut now = Mono(0);
     for endpoint in endpoints {
         now = Mono(u64::from(endpoint) * AGAIN_MS);
-        ledger.take(now, crash(work, endpoint));
+        ledger.apply(now, crash(work, endpoint));
     }
     now
 }
@@ -41,7 +41,7 @@
     let mut ledger = Ledger::default();
     let now = crash_all(&mut ledger, BAD, 0..2);
     expect_that!(refuses(&ledger, now, BAD), eq(false));
-    let verdicts = ledger.take(now.plus(AGAIN_MS), crash(BAD, 9));
+    let verdicts = ledger.apply(now.plus(AGAIN_MS), crash(BAD, 9));
     expect_that!(
         verdicts,
         elements_are![matches_pattern!(Verdict::Harmful {
@@ -61,9 +61,9 @@
 fn one_crash_counts_once_however_many_copies_and_tellers_there_are() {
     let mut ledger = Ledger::default();
     for _ in 0..8 {
-        ledger.take(Mono(0), crash(BAD, 1));
+        ledger.apply(Mono(0), crash(BAD, 1));
     }
-    ledger.take(Mono(10), crash(BAD, 2));
+    ledger.apply(Mono(10), crash(BAD, 2));
     expect_that!(refuses(&ledger, Mono(10), BAD), eq(false));
 }
 
@@ -71,7 +71,7 @@
 fn crashes_count_for_a_bounded_time() {
     let mut ledger = Ledger::default();
     let now = crash_all(&mut ledger, BAD, 0..2);
-    ledger.take(now.plus(CRASH_EXPIRY_MS), crash(BAD, 9));
+    ledger.apply(now.plus(CRASH_EXPIRY_MS), crash(BAD, 9));
     expect_that!(refuses(&ledger, now.plus(CRASH_EXPIRY_MS), BAD), eq(false));
     ledger.expire(now.plus(3 * CRASH_EXPIRY_MS));
     expect_that!(ledger.is_empty(), eq(true));
@@ -84,9 +84,9 @@
     let mut ledger = Ledger::default();
     for round in 0..20 {
         let now = Mono(u64::from(round) * AGAIN_MS);
-        ledger.take(now, crash(OTHER, round));
-        ledger.take(now, crash(BAD, round));
-        ledger.take(now.plus(300), Sign::Answered { work: OTHER });
+        ledger.apply(now, crash(OTHER, round));
+        ledger.apply(now, crash(BAD, round));
+        ledger.apply(now.plus(300), Sign::Answered { work: OTHER });
         expect_that!(refuses(&ledger, now, OTHER), eq(false));
     }
     expect_that!(refuses(&ledger, Mono(20 * AGAIN_MS), BAD), eq(true));
@@ -99,10 +99,10 @@
     let mut ledger = Ledger::default();
     for rack in 0..3 {
         let at = u64::from(rack) * AGAIN_MS;
-        ledger.take(Mono(at), crash(OTHER, rack * 10));
+        ledger.apply(Mono(at), crash(OTHER, rack * 10));
         for n in 1..10 {
             let other = Fingerprint(u64::from(100 + rack * 10 + n));
-            ledger.take(Mono(at + u64::from(n) * 20), crash(other, rack * 10 + n));
+            ledger.apply(Mono(at + u64::from(n) * 20), crash(other, rack * 10 + n));
         }
     }
     let now = Mono(3 * AGAIN_MS);
@@ -119,7 +119,7 @@
     expect_that!(refuses(&ledger, now, OTHER), eq(true));
     expect_that!(ledger.harmful(now.plus(400)), is_empty());
     for n in 0..3 {
-        ledger.take(now.plus(400), crash(Fingerprint(50), 90 + n));
+        ledger.apply(now.plus(400), crash(Fingerprint(50), 90 + n));
     }
     expect_that!(refuses(&ledger, now.plus(400), OTHER), eq(false));
 }
@@ -129,7 +129,7 @@
 fn copies_that_crash_three_endpoints_at_once_are_harmful() {
     let mut ledger = Ledger::default();
     for endpoint in 0..3 {
-        ledger.take(Mono(10), crash(BAD, endpoint));
+        ledger.apply(Mono(10), crash(BAD, endpoint));
     }
     expect_that!(refuses(&ledger, Mono(10), BAD), eq(true));
 }
@@ -147,7 +147,7 @@
         ledger.expire(now);
         if !refuses(&ledger, now, BAD) {
             tries += 1;
-            ledger.take(now, crash(BAD, 100 + tries));
+            ledger.apply(now, crash(BAD, 100 + tries));
         }
     }
     expect_that!(tries, le(3));
@@ -169,12 +169,12 @@
     let ms = refused_for(&ledger, third, OTHER);
     expect_that!(ms, all!(ge(15_000), le(45_000)));
     let later = third.plus(ms);
-    let verdicts = ledger.take(later, Sign::Answered { work: OTHER });
+    let verdicts = ledger.apply(later, Sign::Answered { work: OTHER });
     expect_that!(
         verdicts,
         elements_are![matches_pattern!(Verdict::Cleared { .. })]
     );
-    ledger.take(later, crash(OTHER, 70));
+    ledger.apply(later, crash(OTHER, 70));
     expect_that!(refuses(&ledger, later, OTHER), eq(false));
 }
 
@@ -186,7 +186,7 @@
     let works = (0..30).map(|n| Fingerprint(n * 7_919_u64.pow(3)));
     for endpoint in 0..3 {
         for work in works.clone() {
-            ledger.take(Mono(u64::from(endpoint) * AGAIN_MS), crash(work, endpoint));
+            ledger.apply(Mono(u64::from(endpoint) * AGAIN_MS), crash(work, endpoint));
         }
     }
     let third = Mono(2 * AGAIN_MS);
@@ -205,7 +205,7 @@
     let third = crash_all(&mut ledger, BAD, 0..3);
     let first = third.plus(refused_for(&ledger, third, BAD));
     let tried = |at: Mono| {
-        let refuses = |rank: &u64| ledger.known(None, rank * 7_919).refuses(at, BAD);
+        let refuses = |rank: &u64| ledger.snapshot(None, rank * 7_919).refuses(at, BAD);
         (0..100).filter(|rank| !refuses(rank)).count()
     };
     expect_that!(tried(first.minus(500)), eq(0));
@@ -219,15 +219,15 @@
 fn a_let_go_holds_against_those_that_have_not_heard_of_it() {
     let mut ledger = Ledger::default();
     let now = crash_all(&mut ledger, OTHER, 0..3);
-    ledger.take(now, Sign::Answered { work: OTHER });
-    let stale = Refused {
+    ledger.apply(now, Sign::Answered { work: OTHER });
+    let stale = RefusedWork {
         work: OTHER,
         times: 1,
     };
-    expect_that!(ledger.told(now.plus(200), stale), none());
+    expect_that!(ledger.apply_refused(now.plus(200), stale), none());
     expect_that!(refuses(&ledger, now.plus(200), OTHER), eq(false));
-    let newer = Refused { times: 2, ..stale };
-    expect_that!(ledger.told(now.plus(200), newer), some(anything()));
+    let newer = RefusedWork { times: 2, ..stale };
+    expect_that!(ledger.apply_refused(now.plus(200), newer), some(anything()));
 }
 
 /// The instances that saw the crashes are lost. One that starts reads the stored row, refuses
@@ -235,16 +235,16 @@
 #[gtest]
 fn what_was_told_is_treated_like_what_was_seen() {
     let mut ledger = Ledger::default();
-    let refused = Refused {
+    let refused = RefusedWork {
         work: BAD,
         times: 1,
     };
-    ledger.told(Mono(0), refused);
+    ledger.apply_refused(Mono(0), refused);
     expect_that!(ledger.harmful(Mono(0)), elements_are![eq(&refused)]);
     let ms = refused_for(&ledger, Mono(0), BAD);
-    expect_that!(ledger.told(Mono(ms), refused), none());
+    expect_that!(ledger.apply_refused(Mono(ms), refused), none());
     expect_that!(refuses(&ledger, Mono(ms), BAD), eq(false));
-    ledger.take(Mono(ms), crash(BAD, 5));
+    ledger.apply(Mono(ms), crash(BAD, 5));
     expect_that!(refused_for(&ledger, Mono(ms), BAD), ge(5 * ms));
 }
 
@@ -256,7 +256,7 @@
     let crashed_after = |ms| {
         let mut ledger = Ledger::default();
         let third = crash_all(&mut ledger, BAD, 0..3);
-        ledger.take(third.plus(ms), crash(BAD, 20));
+        ledger.apply(third.plus(ms), crash(BAD, 20));
         refused_for(&ledger, third.plus(ms), BAD)
     };
     expect_that!(crashed_after(500), le(45_000));
@@ -270,9 +270,9 @@
     let mut ledger = Ledger::default();
     for n in 0..4 {
         let at = Mono(u64::from(n) * AGAIN_MS);
-        ledger.take(at, crash(BAD, n * 10));
+        ledger.apply(at, crash(BAD, n * 10));
         for other in 1..10 {
-            ledger.take(at, crash(OTHER, n * 10 + other));
+            ledger.apply(at, crash(OTHER, n * 10 + other));
         }
     }
     expect_that!(refuses(&ledger, Mono(4 * AGAIN_MS), BAD), eq(true));
@@ -286,7 +286,7 @@
     let now = crash_all(&mut ledger, BAD, 0..3).plus(10_000);
     for n in 0..6_000_u32 {
         let at = now.plus(u64::from(n) * 10);
-        ledger.take(at, crash(Fingerprint(u64::from(1_000 + n)), 1_000 + n));
+        ledger.apply(at, crash(Fingerprint(u64::from(1_000 + n)), 1_000 + n));
     }
     expect_that!(ledger.len(), le(4_096));
     expect_that!(
@@ -322,7 +322,7 @@
 #[gtest]
 fn signs_come_once_each_though_reports_are_lost_and_repeat_them() {
     let all: Vec<_> = (0..300).map(|n| crash(BAD, n)).collect();
-    let (mut outbox, mut taken) = (SignQueue::default(), Taken::default());
+    let (mut outbox, mut taken) = (SignQueue::default(), SignReceiver::default());
     for sign in &all {
         outbox.push(*sign);
     }
@@ -331,7 +331,7 @@
         let (first, signs) = outbox.take();
         expect_that!(signs.len(), le(MAX_SIGNS_PER_REPORT));
         if n % 3 != 0 {
-            came.extend_from_slice(taken.fresh(&report(7, first, signs)));
+            came.extend_from_slice(taken.new_signs(&report(7, first, signs)));
         }
     }
     expect_that!(came, eq(&all));
@@ -340,10 +340,19 @@
 
 #[gtest]
 fn signs_of_another_start_are_counted_anew() {
-    let mut taken = Taken::default();
-    expect_that!(taken.fresh(&report(7, 5, vec![crash(BAD, 1)])).len(), eq(1));
-    expect_that!(taken.fresh(&report(7, 5, vec![crash(BAD, 1)])).len(), eq(0));
-    expect_that!(taken.fresh(&report(8, 0, vec![crash(BAD, 1)])).len(), eq(1));
+    let mut taken = SignReceiver::default();
+    expect_that!(
+        taken.new_signs(&report(7, 5, vec![crash(BAD, 1)])).len(),
+        eq(1)
+    );
+    expect_that!(
+        taken.new_signs(&report(7, 5, vec![crash(BAD, 1)])).len(),
+        eq(0)
+    );
+    expect_that!(
+        taken.new_signs(&report(8, 0, vec![crash(BAD, 1)])).len(),
+        eq(1)
+    );
 }
 
 /// Guards against work that the row names nowhere while it becomes harmful.
@@ -371,13 +380,13 @@
     expect_that!(stored, len(eq(1)));
     let mut after = Ledger::default();
     for suspect in &stored {
-        after.remember(now, suspect);
+        after.restore_suspect(now, suspect);
     }
     expect_that!(after.is_suspect(BAD), eq(true));
     expect_that!(refuses(&after, now, BAD), eq(false));
     // The same crash, told by another instance, is no further one.
-    after.take(now, crash(BAD, 1));
+    after.apply(now, crash(BAD, 1));
     expect_that!(refuses(&after, now, BAD), eq(false));
-    after.take(now, crash(BAD, 2));
+    after.apply(now, crash(BAD, 2));
     expect_that!(refuses(&after, now, BAD), eq(true));
 }
--- a/crates/citronway-core/tests/gateway_crash_trials.rs
+++ b/crates/citronway-core/tests/gateway_crash_trials.rs
@@ -1,8 +1,8 @@
 //! Which copy of work under suspicion is sent.
 
 use citronway_core::gateway::crashes::{
-    Fingerprint, Place, TIME_SLICE_MS, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials, copy_retry_after_ms,
-    may_try_without_leader,
+    Fingerprint, InstancePosition, TIME_SLICE_MS, TrialEnd, TrialGrant, TrialId, TrialRequest,
+    Trials, copy_retry_after_ms, may_try_without_leader,
 };
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::ids::SessionId;
@@ -42,7 +42,7 @@
             eq(TrialGrant::Busy { for_ms })
         );
     }
-    trials.ended(later, req(1, 1).id, WORK, CRASHED);
+    trials.record_end(later, req(1, 1).id, WORK, CRASHED);
     expect_that!(trials.request(later, &req(2, 1)), eq(TrialGrant::Granted));
 }
 
@@ -72,12 +72,12 @@
 fn an_answer_lets_all_copies_go_until_the_next_crash() {
     let mut trials = Trials::default();
     trials.request(Mono(0), &req(1, 1));
-    trials.ended(Mono(200), req(1, 1).id, WORK, TrialEnd::Answered);
+    trials.record_end(Mono(200), req(1, 1).id, WORK, TrialEnd::Answered);
     for n in 0..3 {
         let grant = trials.request(Mono(210), &req(2, n));
         expect_that!(grant, eq(TrialGrant::Cleared));
     }
-    trials.crashed(WORK);
+    trials.record_crash(WORK);
     expect_that!(
         trials.request(Mono(220), &req(2, 3)),
         eq(TrialGrant::Granted)
@@ -93,9 +93,9 @@
 fn the_end_of_another_trial_ends_nothing() {
     let mut trials = Trials::default();
     trials.request(Mono(0), &req(1, 1));
-    trials.ended(Mono(10), req(1, 1).id, WORK, TrialEnd::Open);
+    trials.record_end(Mono(10), req(1, 1).id, WORK, TrialEnd::Inconclusive);
     trials.request(Mono(20), &req(2, 1));
-    trials.ended(Mono(30), req(1, 1).id, WORK, TrialEnd::Open);
+    trials.record_end(Mono(30), req(1, 1).id, WORK, TrialEnd::Inconclusive);
     expect_that!(
         trials.request(Mono(40), &req(3, 1)),
         matches_pattern!(TrialGrant::Busy { .. })
@@ -141,7 +141,8 @@
         for turn in 0..of {
             let begins = heard.plus(turn * TIME_SLICE_MS);
             let ends = begins.plus(TIME_SLICE_MS - 1);
-            let try_it = |now| (0..of).filter(move |b| may_try_without_leader(now, heard, place(*b, of)));
+            let try_it =
+                |now| (0..of).filter(move |b| may_try_without_leader(now, heard, place(*b, of)));
             expect_that!(try_it(begins).collect::<Vec<_>>(), elements_are![eq(&turn)]);
             expect_that!(try_it(ends).collect::<Vec<_>>(), elements_are![eq(&turn)]);
         }
@@ -164,7 +165,7 @@
 /// Guards against a second copy where the leader changes while one is being tried.
 #[gtest]
 fn a_new_leader_grants_nothing_for_a_moment() {
-    let mut trials = Trials::of_new_leader(Mono(1_000));
+    let mut trials = Trials::for_new_leader(Mono(1_000));
     expect_that!(
         trials.request(Mono(1_100), &req(1, 1)),
         eq(TrialGrant::Busy { for_ms: 400 })
@@ -173,6 +174,6 @@
     expect_that!(grant, eq(TrialGrant::Granted));
 }
 
-const fn place(before: u64, of: u64) -> Place {
-    Place { before, of }
+const fn place(before: u64, of: u64) -> InstancePosition {
+    InstancePosition { before, total: of }
 }
--- a/crates/citronway-core/tests/gateway_election.rs
+++ b/crates/citronway-core/tests/gateway_election.rs
@@ -224,11 +224,19 @@
         let now = claimed.plus(late_ms);
         let until = holds_until(now, &cfg, &former, Some(store_ms + late_ms), claimed);
         // The store may have confirmed it until this moment.
-        expect_that!(until, ge(now.plus(cfg.predecessor_wait_ms())), "{late_ms} ms");
-        expect_that!(until, le(cfg.rivals(now).hold_until), "{late_ms} ms");
+        expect_that!(
+            until,
+            ge(now.plus(cfg.predecessor_wait_ms())),
+            "{late_ms} ms"
+        );
+        expect_that!(
+            until,
+            le(cfg.predecessor_limits(now).hold_until),
+            "{late_ms} ms"
+        );
     }
     let ended = holds_until(claimed, &cfg, &[], Some(store_ms), claimed);
-    expect_that!(ended, eq(cfg.end_of_hold(claimed)));
+    expect_that!(ended, eq(cfg.latest_hold_end(claimed)));
 }
 
 /// Machines are unequal. The first to claim had a tenth of a core and a link of
--- a/crates/citronway-core/tests/gateway_evacuation.rs
+++ b/crates/citronway-core/tests/gateway_evacuation.rs
@@ -99,7 +99,7 @@
 fn shown(decision: Option<&Decision>) -> String {
     match decision {
         Some(Decision::Send(choice)) => choice.endpoint.to_string(),
-        Some(Decision::Refuse(refusal)) => refusal.reason.word().to_owned(),
+        Some(Decision::Refuse(refusal)) => refusal.reason.as_str().to_owned(),
         None => "waits".to_owned(),
     }
 }
@@ -111,7 +111,7 @@
     evacuate(&mut scene, &["here"], NOW.plus(2_000));
     let mut admission = scene.admission(NOW);
     for ticket in 0..12 {
-        let decision = admission.arrive(NOW, &scene.view(), job(ticket, NOW));
+        let decision = admission.submit(NOW, &scene.view(), job(ticket, NOW));
         expect_that!(shown(decision.as_ref()), starts_with("far"));
     }
 }
@@ -123,11 +123,11 @@
     let until = NOW.plus(2_000);
     evacuate(&mut scene, &["here"], until);
     let mut admission = scene.admission(NOW);
-    let decision = admission.arrive(NOW, &scene.view(), keyed(1, 0, NOW));
+    let decision = admission.submit(NOW, &scene.view(), keyed(1, 0, NOW));
     expect_that!(shown(decision.as_ref()), eq("a"));
-    let decision = admission.arrive(until, &scene.view(), keyed(2, 0, until));
+    let decision = admission.submit(until, &scene.view(), keyed(2, 0, until));
     expect_that!(shown(decision.as_ref()), eq("waits"));
-    let other = admission.arrive(until, &scene.view(), keyed(3, 40_000, until));
+    let other = admission.submit(until, &scene.view(), keyed(3, 40_000, until));
     expect_that!(shown(other.as_ref()), eq("b"));
 }
 
@@ -138,7 +138,7 @@
     evacuate(&mut scene, &["here", "there"], NOW);
     let mut admission = scene.admission(NOW);
     for req in [job(1, NOW), keyed(2, 0, NOW)] {
-        let decision = admission.arrive(NOW, &scene.view(), req);
+        let decision = admission.submit(NOW, &scene.view(), req);
         let Some(Decision::Refuse(refusal)) = decision else {
             panic!("not refused: {decision:?}");
         };
--- a/crates/citronway-core/tests/gateway_hot_ranges.rs
+++ b/crates/citronway-core/tests/gateway_hot_ranges.rs
@@ -100,7 +100,7 @@
 
     fn request(&mut self, key: u16) -> bool {
         self.load.add(key);
-        let owner = &self.row.at(key).unwrap().holder.endpoint;
+        let owner = &self.row.range_at(key).unwrap().holder.endpoint;
         let left = self.backlog.get_mut(owner).unwrap();
         if *left >= IN_TIME {
             return false;
--- a/crates/citronway-core/tests/gateway_leader_moves.rs
+++ b/crates/citronway-core/tests/gateway_leader_moves.rs
@@ -2,7 +2,8 @@
 
 use citronway_core::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, Range};
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Move, Order, OrderKind, OrderResult, PredecessorLimits, Span, WriteResult,
+    Action, Leader, LeaderSettings, Move, Order, OrderKind, OrderResult, PredecessorLimits, Span,
+    WriteResult,
 };
 use citronway_core::gateway::registry::{Listing, Registry};
 use citronway_core::ids::{EndpointStart, ServiceName, Version, ZoneName};
@@ -63,8 +64,8 @@
             next: None,
         });
         let mut leader = Leader::new(LeaderSettings::default(), ServiceName::new("batch"));
-        leader.row_seen(row, Version(5));
-        leader.begin(NOW, rivals);
+        leader.update_row(row, Version(5));
+        leader.begin_term(NOW, rivals);
         Self {
             leader,
             registry,
@@ -75,7 +76,8 @@
 
     fn wish(&mut self, span: Span, to: &str) {
         let to = EndpointStart::new(to, None);
-        self.leader.start(&[Move { span, to }], &self.registry);
+        self.leader
+            .start_moves(&[Move { span, to }], &self.registry);
     }
 
     /// One step in which writes succeed.
@@ -87,7 +89,7 @@
                 Action::Write { row, .. } => {
                     self.version = self.version.next();
                     let done = WriteResult::Done(row, self.version);
-                    self.leader.wrote(self.now, done);
+                    self.leader.handle_write_result(self.now, done);
                 }
                 Action::Order(order) => {
                     self.leader.answered(self.now, &order, &answer(&order));
@@ -132,7 +134,7 @@
 #[gtest]
 fn nothing_is_sealed_while_an_earlier_leader_may_connect() -> Result<()> {
     let cfg = LeaderSettings::default();
-    let mut scene = Scene::new(cfg.rivals(NOW));
+    let mut scene = Scene::new(cfg.predecessor_limits(NOW));
     scene.step(done);
     scene.wish(WHOLE, "b");
     let sealed = scene.first_seal().or_fail()?;
@@ -144,7 +146,7 @@
 #[gtest]
 fn a_seal_waits_only_for_the_last_orders_of_a_leader_that_has_stopped() -> Result<()> {
     let cfg = LeaderSettings::default();
-    let mut scene = Scene::new(cfg.rivals(NOW));
+    let mut scene = Scene::new(cfg.predecessor_limits(NOW));
     scene.leader.predecessor_stopped(NOW);
     scene.step(done);
     scene.wish(WHOLE, "b");
@@ -190,7 +192,7 @@
         });
     }
     let owner = |scene: &Scene, key| {
-        let range = scene.leader.row().at(key);
+        let range = scene.leader.row().range_at(key);
         range.map(|range| range.holder.endpoint.name().as_str().to_owned())
     };
     expect_that!(owner(&scene, WHOLE.first), some(eq("b")));
--- a/crates/citronway-core/tests/gateway_leader_rows.rs
+++ b/crates/citronway-core/tests/gateway_leader_rows.rs
@@ -2,7 +2,8 @@
 
 use citronway_core::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, MAX_RANGES, Range};
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Move, OrderKind, OrderResult, PredecessorLimits, Span, WriteResult,
+    Action, Leader, LeaderSettings, Move, OrderKind, OrderResult, PredecessorLimits, Span,
+    WriteResult,
 };
 use citronway_core::gateway::registry::{Listing, Registry};
 use citronway_core::ids::{EndpointStart, ServiceName, Version, ZoneName};
@@ -54,8 +55,8 @@
 
 fn leader(row: &Assignment) -> Leader {
     let mut leader = Leader::new(LeaderSettings::default(), ServiceName::new("batch"));
-    leader.row_seen(row.clone(), Version(5));
-    leader.begin(NOW, PredecessorLimits::default());
+    leader.update_row(row.clone(), Version(5));
+    leader.begin_term(NOW, PredecessorLimits::default());
     leader
 }
 
@@ -96,7 +97,7 @@
     };
     expect_that!(fences(&actions), le(highest));
     let fence = joined.ranges[0].holder.fence;
-    leader.wrote(NOW.plus(30), WriteResult::Done(joined, Version(6)));
+    leader.handle_write_result(NOW.plus(30), WriteResult::Done(joined, Version(6)));
     let actions = leader.step(NOW.plus(50), &registry);
     expect_that!(fences(&actions), eq(fence));
 }
@@ -119,7 +120,7 @@
         span: Span { first, last },
         to,
     };
-    leader.start(std::slice::from_ref(&whole), &registry);
+    leader.start_moves(std::slice::from_ref(&whole), &registry);
     let actions = leader.step(NOW.plus(25), &registry);
     let moving = written(&actions).is_some_and(|row| row.ranges[10].is_moving());
     expect_that!(moving, eq(true));
@@ -168,7 +169,7 @@
         last: u16::MAX,
     };
     let to = starts[1].start.clone();
-    leader.start(&[Move { span: whole, to }], &registry);
+    leader.start_moves(&[Move { span: whole, to }], &registry);
     let mut now = NOW;
     let mut version = Version(5);
     let mut granted = None;
@@ -178,7 +179,7 @@
             match action {
                 Action::Write { row, .. } => {
                     version = version.next();
-                    leader.wrote(now, WriteResult::Done(row, version));
+                    leader.handle_write_result(now, WriteResult::Done(row, version));
                 }
                 Action::Order(order) => {
                     if matches!(order.kind, OrderKind::Grant { .. }) {
--- a/crates/citronway-core/tests/gateway_service_limit.rs
+++ b/crates/citronway-core/tests/gateway_service_limit.rs
@@ -46,7 +46,7 @@
             },
         );
     }
-    let mut view = View::nothing(ZoneName::new(["a", "b", "c"][rank % 3]), rank as u64);
+    let mut view = View::empty(ZoneName::new(["a", "b", "c"][rank % 3]), rank as u64);
     view.registry = Arc::new(registry);
     view.instances = u32::try_from(INSTANCES).unwrap();
     view
@@ -126,7 +126,7 @@
             answer_bytes: 400,
             tried: Vec::new(),
         };
-        match self.admissions[i].arrive(now, &self.views[i], job.clone()) {
+        match self.admissions[i].submit(now, &self.views[i], job.clone()) {
             Some(Decision::Send(choice)) => self.send(now, i, choice),
             Some(Decision::Refuse(_)) => {}
             None => self.jobs[i].push(job),
@@ -135,7 +135,7 @@
 
     fn pump(&mut self, now: Mono) {
         for i in 0..INSTANCES {
-            for (ticket, decision) in self.admissions[i].pump(now, &self.views[i]) {
+            for (ticket, decision) in self.admissions[i].decide_waiting(now, &self.views[i]) {
                 self.jobs[i].retain(|job| job.ticket != ticket);
                 if let Decision::Send(choice) = decision {
                     self.send(now, i, choice);
@@ -151,9 +151,9 @@
         if endpoint.running.len() == SLOTS && endpoint.waiting.len() == QUEUE {
             self.counted.reset += 1;
             let admission = &mut self.admissions[instance];
-            admission.finished(&choice.endpoint);
-            admission.reset(now, &choice.endpoint);
-            admission.turned_away(now, &self.views[instance], &service());
+            admission.record_finished(&choice.endpoint);
+            admission.record_reset(now, &choice.endpoint);
+            admission.record_rejection(now, &self.views[instance], &service());
             return;
         }
         endpoint.waiting.push(Sent {
@@ -194,9 +194,9 @@
             slots: u32::try_from(SLOTS).unwrap(),
         };
         let admission = &mut self.admissions[sent.instance];
-        admission.finished(&sent.choice.endpoint);
-        admission.answered(now, &sent.choice, None);
-        admission.load_told(&self.views[sent.instance], &service(), Some(load));
+        admission.record_finished(&sent.choice.endpoint);
+        admission.record_answer(now, &sent.choice, None);
+        admission.record_load(&self.views[sent.instance], &service(), Some(load));
     }
 }
 
--- a/crates/citronway-core/tests/leader_world/mod.rs
+++ b/crates/citronway-core/tests/leader_world/mod.rs
@@ -143,7 +143,9 @@
             evacuated: false,
         };
         world.instances[0].term = 1;
-        world.instances[0].leader.begin(start, PredecessorLimits::default());
+        world.instances[0]
+            .leader
+            .begin_term(start, PredecessorLimits::default());
         world
     }
 
@@ -301,9 +303,9 @@
         let instance = &mut self.instances[next];
         instance.term = self.term;
         instance.contact = now;
-        instance.leader.row_seen(self.row.clone(), self.version);
-        let rivals = LeaderSettings::default().rivals(now);
-        instance.leader.begin(now, rivals);
+        instance.leader.update_row(self.row.clone(), self.version);
+        let rivals = LeaderSettings::default().predecessor_limits(now);
+        instance.leader.begin_term(now, rivals);
     }
 
     fn run_leader(&mut self, i: usize) {
@@ -315,15 +317,15 @@
         let connected = self.instances[i].cut_until <= now;
         if connected {
             let instance = &mut self.instances[i];
-            instance.leader.row_seen(self.row.clone(), self.version);
+            instance.leader.update_row(self.row.clone(), self.version);
             if instance.term == self.term && i == self.leader {
                 instance.leader.confirm(now);
                 self.leader_acted = now;
             } else {
-                instance.leader.end();
+                instance.leader.end_term();
             }
         }
-        if !self.instances[i].leader.in_office() {
+        if !self.instances[i].leader.is_leading() {
             return;
         }
         self.propose(i, &registry);
@@ -339,7 +341,7 @@
     fn propose(&mut self, i: usize, registry: &Registry) {
         let listings: Vec<_> = self.endpoints.iter().map(Endpoint::listing).collect();
         let listings: Vec<&Listing> = listings.iter().collect();
-        self.instances[i].leader.found(&listings);
+        self.instances[i].leader.create_assignment(&listings);
         if self.evacuated {
             if self.now.0.is_multiple_of(PLACE_MS) {
                 self.empty_zone(i, registry);
@@ -352,7 +354,7 @@
         let first = self.random.key();
         let to = self.random.index(self.endpoints.len());
         let leader = &mut self.instances[i].leader;
-        let Some(range) = leader.row().at(first) else {
+        let Some(range) = leader.row().range_at(first) else {
             return;
         };
         let last = range.last.min(first.saturating_add(5_000));
@@ -361,7 +363,7 @@
             to: self.endpoints[to].id(),
         };
         self.moves += 1;
-        leader.start(&[wish], registry);
+        leader.start_moves(&[wish], registry);
     }
 
     /// Moves what is in the evacuated zone, as the placement wants it.
@@ -389,7 +391,7 @@
             places: &places,
         };
         let moves = placement::propose(&scene);
-        leader.start(&moves, registry);
+        leader.start_moves(&moves, registry);
     }
 
     fn write(&mut self, i: usize, row: Assignment, expected: Version) {
@@ -414,7 +416,7 @@
         } else {
             WriteResult::Conflict
         };
-        self.instances[i].leader.wrote(now, result);
+        self.instances[i].leader.handle_write_result(now, result);
     }
 
     fn order(&mut self, i: usize, order: &Order) {
--- a/crates/citronway-core/tests/tree_world/mod.rs
+++ b/crates/citronway-core/tests/tree_world/mod.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use citronway_core::gateway::crashes::{Fingerprint, Ledger, SignQueue, Sign, Taken};
+use citronway_core::gateway::crashes::{Fingerprint, Ledger, Sign, SignQueue, SignReceiver};
 use citronway_core::gateway::election::Strength;
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::gateway::report::{Report, Totals, Versions};
@@ -45,7 +45,7 @@
     count: usize,
     ledger: Ledger,
     outbox: SignQueue,
-    taken: Taken,
+    taken: SignReceiver,
 }
 
 pub struct World {
@@ -88,7 +88,7 @@
             count: 0,
             ledger: Ledger::default(),
             outbox: SignQueue::default(),
-            taken: Taken::default(),
+            taken: SignReceiver::default(),
         });
         Self {
             now: Mono(1_000),
@@ -212,14 +212,15 @@
         let endpoint = EndpointTag(endpoint);
         let sign = Sign::Crash { work, endpoint };
         let one = &mut self.all[instance];
-        one.ledger.take(self.now, sign);
+        one.ledger.apply(self.now, sign);
         one.outbox.push(sign);
     }
 
     /// Instances that are up and do not refuse work.
     pub fn sending(&self, work: Fingerprint) -> usize {
         let up = self.all.iter().filter(|one| one.up);
-        up.filter(|one| !one.ledger.refuses(self.now, work)).count()
+        up.filter(|one| !one.ledger.is_refused(self.now, work))
+            .count()
     }
 
     pub fn kill(&mut self, instance: usize) {
@@ -287,8 +288,8 @@
         match message {
             Message::Report(members, report) if link.to == 0 => {
                 let one = &mut self.all[0];
-                for sign in one.taken.fresh(&report) {
-                    one.ledger.take(now, *sign);
+                for sign in one.taken.new_signs(&report) {
+                    one.ledger.apply(now, *sign);
                 }
                 self.directly.insert(link.from, now);
                 for (instance, at) in members.into_iter().chain([(link.from, now)]) {
@@ -299,8 +300,8 @@
             Message::Report(_, report) => {
                 let one = &mut self.all[link.to];
                 one.heard.insert(link.from, now);
-                for sign in one.taken.fresh(&report) {
-                    one.ledger.take(now, *sign);
+                for sign in one.taken.new_signs(&report) {
+                    one.ledger.apply(now, *sign);
                     one.outbox.push(*sign);
                 }
             }
@@ -311,7 +312,7 @@
                 }
                 one.told = now;
                 for refused in &totals.refused {
-                    one.ledger.told(now, *refused);
+                    one.ledger.apply_refused(now, *refused);
                 }
                 let members = std::mem::take(&mut totals.members);
                 for member in members {
@@ -373,7 +374,7 @@
             Role::Delegate(to) => (to, LOOK_MS),
         };
         let looks = since.is_multiple_of(LOOK_MS);
-        let is_due = since.is_multiple_of(period_ms) || (looks && one.outbox.has_news());
+        let is_due = since.is_multiple_of(period_ms) || (looks && one.outbox.has_unsent());
         if !is_due {
             return;
         }
--- a/crates/citronway-wire/src/report.rs
+++ b/crates/citronway-wire/src/report.rs
@@ -5,7 +5,7 @@
 
 use capnp::message::{Builder, ReaderOptions};
 use capnp::serialize;
-use citronway_core::gateway::crashes::{Fingerprint, Refused, Sign, TrialRequest};
+use citronway_core::gateway::crashes::{Fingerprint, RefusedWork, Sign, TrialRequest};
 use citronway_core::gateway::election::Strength;
 use citronway_core::gateway::pace::{Answers, EndpointTag};
 use citronway_core::gateway::report::{
@@ -336,7 +336,7 @@
         let ip = Ipv4Addr::from_bits(address.get_ip());
         SocketAddr::from((ip, address.get_port()))
     });
-    let refused = from.get_refused()?.iter().map(|refused| Refused {
+    let refused = from.get_refused()?.iter().map(|refused| RefusedWork {
         work: Fingerprint(refused.get_work()),
         times: refused.get_times(),
     });
--- a/crates/citronway-wire/src/trial.rs
+++ b/crates/citronway-wire/src/trial.rs
@@ -79,7 +79,7 @@
     match from.end {
         TrialEnd::Answered => to.set_answered(()),
         TrialEnd::Crashed { endpoint } => to.set_crashed(endpoint.0),
-        TrialEnd::Open => to.set_open(()),
+        TrialEnd::Inconclusive => to.set_open(()),
     }
 }
 
@@ -89,7 +89,7 @@
         trial_end::Which::Crashed(tag) => TrialEnd::Crashed {
             endpoint: EndpointTag(tag),
         },
-        trial_end::Which::Open(()) => TrialEnd::Open,
+        trial_end::Which::Open(()) => TrialEnd::Inconclusive,
     };
     Ok(EndedTrial {
         id: id(from.get_session(), from.get_number()),
--- a/crates/citronway-wire/tests/datagrams.rs
+++ b/crates/citronway-wire/tests/datagrams.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use citronway_core::gateway::crashes::{
-    Fingerprint, Refused, Sign, TrialEnd, TrialGrant, TrialId, TrialRequest,
+    Fingerprint, RefusedWork, Sign, TrialEnd, TrialGrant, TrialId, TrialRequest,
 };
 use citronway_core::gateway::election::Strength;
 use citronway_core::gateway::pace::EndpointTag;
@@ -115,7 +115,7 @@
             slowness: 1.4,
             failing: 0.25,
         }],
-        refused: vec![Refused {
+        refused: vec![RefusedWork {
             work: Fingerprint(u64::MAX),
             times: 2,
         }],
@@ -230,7 +230,7 @@
     let ends = [
         TrialEnd::Answered,
         TrialEnd::Crashed { endpoint },
-        TrialEnd::Open,
+        TrialEnd::Inconclusive,
     ];
     all.extend(ends.map(|end| Datagram::TrialEnd(EndedTrial { id, work, end })));
     for datagram in all {
--- a/crates/citronway/src/gateway/control/cluster/mod.rs
+++ b/crates/citronway/src/gateway/control/cluster/mod.rs
@@ -435,7 +435,7 @@
             routes: self.routes.clone(),
             registry: Arc::clone(&self.registry),
             owners: self.owners.clone(),
-            standings: self.peers.standings(now, &self.paces, &self.own_use),
+            reported_loads: self.peers.standings(now, &self.paces, &self.own_use),
             zone: self.zone.clone(),
             rank: self.rank,
             instances: u32::try_from(self.peers.instances(now)).unwrap_or(u32::MAX),
--- a/crates/citronway/src/gateway/control/crashes.rs
+++ b/crates/citronway/src/gateway/control/crashes.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use citronway_core::gateway::crashes::{
-    Fingerprint, FingerprintKey, Known, Ledger, MAX_SIGNS_PER_REPORT, SignQueue, Refused, Sign, StoredCrashes,
-    StoredSuspect, Taken, Verdict,
+    CrashSnapshot, Fingerprint, FingerprintKey, Ledger, MAX_SIGNS_PER_REPORT, RefusedWork, Sign,
+    SignQueue, SignReceiver, StoredCrashes, StoredSuspect, Verdict,
 };
 use citronway_core::gateway::report::{Report, Totals};
 use citronway_core::gateway::rows::Row;
@@ -43,14 +43,14 @@
     rank: u64,
     ledger: Ledger,
     outbox: SignQueue,
-    taken: Taken,
+    taken: SignReceiver,
     row: Option<StoredCrashes>,
     version: Version,
     /// A row was read.
     has_read: bool,
     /// The row that stands cannot be read.
     unreadable: bool,
-    known: Arc<Known>,
+    known: Arc<CrashSnapshot>,
     /// What changed for callers since it was logged.
     verdicts: Vec<Verdict>,
     /// Leader to whom all was told.
@@ -91,7 +91,8 @@
             self.ledger.clear();
         }
         for refused in stored.iter().flat_map(|stored| &stored.refused) {
-            self.verdicts.extend(self.ledger.told(now, *refused));
+            self.verdicts
+                .extend(self.ledger.apply_refused(now, *refused));
         }
         self.remember(now, stored.as_ref());
         self.row = stored;
@@ -109,14 +110,14 @@
             return;
         }
         for suspect in stored.iter().flat_map(|stored| &stored.suspects) {
-            self.ledger.remember(now, suspect);
+            self.ledger.restore_suspect(now, suspect);
         }
     }
 
     /// Takes what this instance's own traffic saw.
     pub(super) fn own_seen(&mut self, now: Mono, signs: &[Sign]) {
         for sign in signs {
-            self.verdicts.extend(self.ledger.take(now, *sign));
+            self.verdicts.extend(self.ledger.apply(now, *sign));
             self.outbox.push(*sign);
         }
         self.refresh();
@@ -124,8 +125,8 @@
 
     /// Takes what another instance reports; `passes_on` if this one reports for it.
     fn heard(&mut self, now: Mono, report: &Report, passes_on: bool) {
-        for sign in self.taken.fresh(report) {
-            self.verdicts.extend(self.ledger.take(now, *sign));
+        for sign in self.taken.new_signs(report) {
+            self.verdicts.extend(self.ledger.apply(now, *sign));
             if passes_on {
                 self.outbox.push(*sign);
             }
@@ -136,7 +137,8 @@
     /// Takes what the leader tells.
     pub(super) fn told(&mut self, now: Mono, totals: &Totals) {
         for refused in &totals.refused {
-            self.verdicts.extend(self.ledger.told(now, *refused));
+            self.verdicts
+                .extend(self.ledger.apply_refused(now, *refused));
         }
         for suspect in &totals.suspects {
             self.ledger.apply_leader_suspect(now, *suspect);
@@ -146,20 +148,20 @@
 
     /// Takes a crash that another instance tells the leader of.
     pub(super) fn crash_told(&mut self, now: Mono, sign: Sign) {
-        self.verdicts.extend(self.ledger.take(now, sign));
+        self.verdicts.extend(self.ledger.apply(now, sign));
         self.refresh();
     }
 
     /// Takes from the leader that an endpoint has answered the work.
     pub(super) fn cleared(&mut self, now: Mono, work: Fingerprint) {
         let answered = Sign::Answered { work };
-        self.verdicts.extend(self.ledger.take(now, answered));
+        self.verdicts.extend(self.ledger.apply(now, answered));
         self.refresh();
     }
 
     /// Whether there are signs that were in no report yet.
     pub(super) fn has_news(&self) -> bool {
-        self.outbox.has_news()
+        self.outbox.has_unsent()
     }
 
     /// Takes what the next report says, and the number of its first sign.
@@ -168,12 +170,12 @@
     }
 
     /// What a leader tells: harmful work, and suspects.
-    pub(super) fn totals(&self, now: Mono) -> (Vec<Refused>, Vec<Fingerprint>) {
+    pub(super) fn totals(&self, now: Mono) -> (Vec<RefusedWork>, Vec<Fingerprint>) {
         (self.ledger.harmful(now), self.ledger.suspects(now))
     }
 
     /// What the traffic goes by.
-    pub(super) fn known(&self) -> Arc<Known> {
+    pub(super) fn known(&self) -> Arc<CrashSnapshot> {
         Arc::clone(&self.known)
     }
 
@@ -205,7 +207,7 @@
     fn refresh(&mut self) {
         let key = self.row.as_ref().map(|row| row.key);
         if self.ledger.take_changed() || self.known.key != key {
-            self.known = Arc::new(self.ledger.known(key, self.rank));
+            self.known = Arc::new(self.ledger.snapshot(key, self.rank));
         }
     }
 
@@ -241,7 +243,7 @@
         &self,
         now: Mono,
         row: &StoredCrashes,
-        refused: &[Refused],
+        refused: &[RefusedWork],
         suspects: &[StoredSuspect],
     ) -> bool {
         let is_fresh = now.since(self.row_changed) < CLEARED_STAY_MS;
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -179,7 +179,7 @@
                 .entry(service.clone())
                 .or_insert_with(|| Leader::new(self.cfg, service.clone()));
             if owners.version > leader.version() {
-                leader.row_seen(owners.assignment.as_ref().clone(), owners.version);
+                leader.update_row(owners.assignment.as_ref().clone(), owners.version);
             }
         }
     }
@@ -244,7 +244,7 @@
         }
         self.rivals = self.rivals(now, cluster);
         for leader in self.leaders.values_mut() {
-            leader.begin(asked, self.rivals);
+            leader.begin_term(asked, self.rivals);
         }
     }
 
@@ -253,7 +253,7 @@
         let former = self.office.as_ref().map_or(&[][..], |row| &row.former);
         let store_ms = cluster.store_ms(now);
         let claimed = self.claimed.map_or(now, |(_, at)| at);
-        let mut rivals = self.cfg.rivals(now);
+        let mut rivals = self.cfg.predecessor_limits(now);
         rivals.hold_until = election::holds_until(now, &self.cfg, former, store_ms, claimed);
         if former.is_empty() {
             rivals.connect_until = now;
@@ -265,7 +265,7 @@
         log::info!(cause; "this instance no longer leads");
         self.office = None;
         for leader in self.leaders.values_mut() {
-            leader.end();
+            leader.end_term();
         }
     }
 
@@ -277,7 +277,7 @@
 
     pub(super) fn wrote(&mut self, now: Mono, service: &ServiceName, result: WriteResult) {
         if let Some(leader) = self.leaders.get_mut(service) {
-            leader.wrote(now, result);
+            leader.handle_write_result(now, result);
         }
     }
 
@@ -320,7 +320,7 @@
         for service in cluster.sharded() {
             self.leaders.entry(service.clone()).or_insert_with(|| {
                 let mut leader = Leader::new(self.cfg, service);
-                leader.begin(self.contact, PredecessorLimits::default());
+                leader.begin_term(self.contact, PredecessorLimits::default());
                 leader
             });
         }
--- a/crates/citronway/src/gateway/control/orders.rs
+++ b/crates/citronway/src/gateway/control/orders.rs
@@ -35,7 +35,7 @@
     async fn carry_out(&self, order: &Order) -> OrderResult {
         // Failure: this thread is busy and starts the call long after it was decided. Its
         // leader counts from the decision, and gives the keys on before the hold ends.
-        let left_ms = order.until.since(clock::mono());
+        let left_ms = order.deadline.since(clock::mono());
         if left_ms == 0 {
             return OrderResult::TooLate;
         }
--- a/crates/citronway/src/gateway/control/peers.rs
+++ b/crates/citronway/src/gateway/control/peers.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use citronway_core::gateway::admission::Standing;
+use citronway_core::gateway::admission::ReportedLoad;
 use citronway_core::gateway::budget::FleetSize;
 use citronway_core::gateway::election::{LeaderRow, PeerSight, Strength};
 use citronway_core::gateway::pace::{EndpointTag, Paces, rank_of};
@@ -349,8 +349,8 @@
         now: Mono,
         paces: &Paces,
         own: &IndexMap<EndpointTag, EndpointUse>,
-    ) -> IndexMap<EndpointTag, Standing> {
-        let mut all = IndexMap::<EndpointTag, Standing>::new();
+    ) -> IndexMap<EndpointTag, ReportedLoad> {
+        let mut all = IndexMap::<EndpointTag, ReportedLoad>::new();
         for (instance, peer) in self.summed(now) {
             let rank = rank_of(instance);
             for used in &peer.endpoints {
@@ -376,7 +376,7 @@
         }
         for (tag, standing) in &mut all {
             standing.slowness = paces.slowness(now, *tag);
-            standing.failing = paces.failing(now, *tag);
+            standing.failure_ratio = paces.failing(now, *tag);
         }
         all
     }
--- a/crates/citronway/src/gateway/control/placing.rs
+++ b/crates/citronway/src/gateway/control/placing.rs
@@ -125,7 +125,7 @@
         }
         self.after = now.plus(AFTER_MOVES_MS);
         log::info!(service = service.as_str(), moves = moves.len(); "moves begin");
-        let left_out = leader.start(&moves, &cluster.registry);
+        let left_out = leader.start_moves(&moves, &cluster.registry);
         if left_out > 0 {
             let ranges = leader.row().ranges.len();
             log::warn!(service = service.as_str(), left_out, ranges; "the row has no room for moves");
@@ -146,7 +146,7 @@
     }
     let usable = listed.iter().filter(|known| known.takes_work());
     let usable: Vec<_> = usable.map(|known| &known.listing).collect();
-    leader.found(&usable);
+    leader.create_assignment(&usable);
 }
 
 /// An endpoint as the placement sees it.
--- a/crates/citronway/src/gateway/control/trials.rs
+++ b/crates/citronway/src/gateway/control/trials.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use citronway_core::gateway::crashes::{
-    Fingerprint, Place, Sign, TIME_SLICE_MS, TrialEnd, TrialGrant, TrialId, TrialRequest, Trials,
-    may_try_without_leader,
+    Fingerprint, InstancePosition, Sign, TIME_SLICE_MS, TrialEnd, TrialGrant, TrialId,
+    TrialRequest, Trials, may_try_without_leader,
 };
 use citronway_core::time::Mono;
 use citronway_wire::report::{self as datagram, Datagram};
@@ -60,7 +60,7 @@
     fn granted_in(&mut self, now: Mono, term: u64) -> &mut Trials {
         if self.term != term {
             self.term = term;
-            self.granted = Trials::of_new_leader(now);
+            self.granted = Trials::for_new_leader(now);
         }
         &mut self.granted
     }
@@ -77,15 +77,15 @@
             let Sign::Crash { work, .. } = sign else {
                 continue;
             };
-            self.own.crashed(*work);
-            self.granted.crashed(*work);
+            self.own.record_crash(*work);
+            self.granted.record_crash(*work);
         }
     }
 
     fn settle(&mut self, now: Mono, asked: Asked, grant: TrialGrant) {
         let TrialRequest { id, work, .. } = asked.req;
         if grant != TrialGrant::Granted {
-            self.own.ended(now, id, work, TrialEnd::Open);
+            self.own.record_end(now, id, work, TrialEnd::Inconclusive);
         }
         // The caller has left where nobody listens; then the trial ends by its own guard.
         let _ = asked.reply.send(grant);
@@ -179,23 +179,27 @@
         if may_send {
             TrialGrant::Granted
         } else {
-            TrialGrant::Busy { for_ms: TIME_SLICE_MS }
+            TrialGrant::Busy {
+                for_ms: TIME_SLICE_MS,
+            }
         }
     }
 
-    fn place_among_peers(&self, work: Fingerprint) -> Place {
+    fn place_among_peers(&self, work: Fingerprint) -> InstancePosition {
         let order = |rank: u64| rank ^ work.0;
         let own = order(self.cluster.rank());
         let peers = self.cluster.peers.ranks();
         let before = peers.filter(|rank| order(*rank) < own).count();
-        Place {
+        InstancePosition {
             before: before as u64,
-            of: self.cluster.peers.listed() as u64,
+            total: self.cluster.peers.listed() as u64,
         }
     }
 
     fn end_trial(&mut self, now: Mono, socket: &UdpSocket, ended: EndedTrial) {
-        self.trials.own.ended(now, ended.id, ended.work, ended.end);
+        self.trials
+            .own
+            .record_end(now, ended.id, ended.work, ended.end);
         self.trials.asked.swap_remove(&ended.id.number);
         if self.duty.in_office() {
             self.trial_ended(now, &ended);
@@ -218,7 +222,9 @@
             self.trials.crashes_seen(&[crash]);
         }
         let term = self.duty.term();
-        self.trials.granted_in(now, term).ended(now, id, work, end);
+        self.trials
+            .granted_in(now, term)
+            .record_end(now, id, work, end);
     }
 
     /// Takes a message about trials that came from an address.
--- a/crates/citronway/src/gateway/metrics.rs
+++ b/crates/citronway/src/gateway/metrics.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use citronway_core::gateway::admission::{UnknownOutcomeReason, RefusalReason};
+use citronway_core::gateway::admission::{RefusalReason, UnknownOutcomeReason};
 use citronway_core::gateway::cold::ColdGrant;
 use citronway_core::gateway::crashes::{TrialGrant, Verdict};
 use citronway_core::gateway::leader::{OrderKind, OrderResult};
@@ -42,8 +42,8 @@
     const fn labels(self) -> (&'static str, &'static str) {
         match self {
             Self::Answered => ("answered", ""),
-            Self::NotRun(reason) => ("not_run", reason.word()),
-            Self::MayHaveRun(reason) => ("may_have_run", reason.word()),
+            Self::NotRun(reason) => ("not_run", reason.as_str()),
+            Self::MayHaveRun(reason) => ("may_have_run", reason.as_str()),
             Self::Rejected => ("rejected", ""),
         }
     }
--- a/crates/citronway/src/gateway/run.rs
+++ b/crates/citronway/src/gateway/run.rs
@@ -126,7 +126,7 @@
     log::info!(session = me.to_string(), callers = cfg.callers.to_string(); "instance starts");
     let ready = Ready::default();
     let rank = citronway_core::gateway::pace::rank_of(&cfg.instance);
-    let (view_tx, view_rx) = watch::channel(View::nothing(cfg.zone.clone(), rank));
+    let (view_tx, view_rx) = watch::channel(View::empty(cfg.zone.clone(), rank));
     let (seen_tx, seen_rx) = mpsc::channel(SEEN_RING);
     let (trials_tx, trials_rx) = mpsc::channel(TRIALS_RING);
     let (cold_tx, cold_rx) = mpsc::channel(COLD_RING);
--- a/crates/citronway/src/gateway/traffic/forwarding.rs
+++ b/crates/citronway/src/gateway/traffic/forwarding.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use citronway_core::gateway::admission::{
-    Choice, Decision, UnknownOutcomeReason, Job, Refusal, RefusalReason,
+    Choice, Decision, Job, Refusal, RefusalReason, UnknownOutcomeReason,
 };
 use citronway_core::gateway::assignment::Range;
 use citronway_core::gateway::crashes::Fingerprint;
@@ -215,7 +215,10 @@
             return Some(Outcome::Unknown(UnknownOutcomeReason::Crashed, cause));
         }
         if !self.may_run_again() || !self.may_send_again(now) {
-            return Some(Outcome::Unknown(UnknownOutcomeReason::Broken, doubt.cause()));
+            return Some(Outcome::Unknown(
+                UnknownOutcomeReason::Broken,
+                doubt.cause(),
+            ));
         }
         None
     }
@@ -244,7 +247,7 @@
         let owners = view.owners.get(&self.job.service);
         let range = owners
             .zip(key)
-            .and_then(|(owners, key)| owners.assignment.at(key));
+            .and_then(|(owners, key)| owners.assignment.range_at(key));
         let owner = range.map_or_else(|| "-".to_owned(), |r| r.holder.endpoint.to_string());
         let fence = range.map_or(0, |range| range.holder.fence);
         let moving = range.is_some_and(Range::is_moving);
@@ -253,7 +256,7 @@
         let key = key.map_or(-1, i32::from);
         log::info!(
             request, service, key, owner = owner.as_str(), fence, moving, row, routes, waiting, instances,
-            reason = reason.word();
+            reason = reason.as_str();
             "no place found"
         );
     }
--- a/crates/citronway/src/gateway/traffic/outcome.rs
+++ b/crates/citronway/src/gateway/traffic/outcome.rs
@@ -1,7 +1,9 @@
 //! How a request ended, and the answer that its caller gets.
 
 use bytes::Bytes;
-use citronway_core::gateway::admission::{UnknownOutcomeReason, Refusal, RefusalReason, STOPPING_RETRY_MS};
+use citronway_core::gateway::admission::{
+    Refusal, RefusalReason, STOPPING_RETRY_MS, UnknownOutcomeReason,
+};
 use citronway_core::gateway::crashes::Fingerprint;
 use citronway_core::time::Mono;
 use citronway_platform::exchange;
@@ -83,12 +85,12 @@
                 id,
                 status,
                 Some(refusal.retry_after_ms),
-                refusal.reason.word(),
+                refusal.reason.as_str(),
             )
         }
         Outcome::Harmful(_) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            own_answer(id, status, None, RefusalReason::CrashesEndpoints.word())
+            own_answer(id, status, None, RefusalReason::CrashesEndpoints.as_str())
         }
         Outcome::Unknown(_, cause) => own_answer(id, StatusCode::BAD_GATEWAY, None, cause),
         Outcome::TimedOut => own_answer(id, StatusCode::GATEWAY_TIMEOUT, None, "timeout"),
@@ -140,16 +142,16 @@
             log::debug!(request, status, ms; "answered");
         }
         Outcome::NotRun(refusal) => {
-            let reason = refusal.reason.word();
+            let reason = refusal.reason.as_str();
             let retry_after_ms = refusal.retry_after_ms;
             log::info!(request, reason, retry_after_ms, ms; "refused, not run");
         }
         Outcome::Harmful(work) => {
-            let reason = RefusalReason::CrashesEndpoints.word();
+            let reason = RefusalReason::CrashesEndpoints.as_str();
             log::info!(request, reason, work:%, ms; "refused, not run");
         }
         Outcome::Unknown(reason, cause) => {
-            let reason = reason.word();
+            let reason = reason.as_str();
             log::info!(request, reason, cause, ms; "may have run");
         }
         Outcome::TimedOut => log::info!(request, ms; "timed out, may have run"),
--- a/crates/citronway/src/gateway/traffic/pool.rs
+++ b/crates/citronway/src/gateway/traffic/pool.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use citronway_core::gateway::admission::{Choice, AT_MOST_ONCE_IDLE_MS};
+use citronway_core::gateway::admission::{AT_MOST_ONCE_IDLE_MS, Choice};
 use citronway_core::gateway::routes::Repeat;
 use citronway_core::ids::EndpointStart;
 use citronway_core::time::Mono;
--- a/crates/citronway/src/gateway/traffic/state/guards.rs
+++ b/crates/citronway/src/gateway/traffic/state/guards.rs
@@ -37,12 +37,15 @@
             .swap_remove(&self.ticket)
             .is_some()
         {
-            state.admission.borrow_mut().forget(self.ticket);
+            state.admission.borrow_mut().remove(self.ticket);
             return;
         }
         // A decision that was read is no longer in the channel.
         if let Ok(Decision::Send(choice)) = self.decided.try_recv() {
-            state.admission.borrow_mut().finished(&choice.endpoint);
+            state
+                .admission
+                .borrow_mut()
+                .record_finished(&choice.endpoint);
             state.pump();
         }
     }
@@ -57,7 +60,10 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.state.admission.borrow_mut().finished(&self.endpoint);
+        self.state
+            .admission
+            .borrow_mut()
+            .record_finished(&self.endpoint);
         self.state.pump();
     }
 }
--- a/crates/citronway/src/gateway/traffic/state/mod.rs
+++ b/crates/citronway/src/gateway/traffic/state/mod.rs
@@ -210,7 +210,7 @@
         let decided = self
             .admission
             .borrow_mut()
-            .arrive(now, &self.view.borrow(), job);
+            .submit(now, &self.view.borrow(), job);
         if decided.is_some() {
             return decided;
         }
@@ -254,19 +254,19 @@
     pub(super) fn answered(&self, choice: &Choice, key: Option<u16>) {
         self.admission
             .borrow_mut()
-            .answered(clock::mono(), choice, key);
+            .record_answer(clock::mono(), choice, key);
     }
 
     /// Takes what an endpoint of a service without keys says of its load.
     pub(super) fn load_told(&self, job: &Job, load: Option<EndpointLoad>) {
         let mut admission = self.admission.borrow_mut();
-        admission.load_told(&self.view.borrow(), &job.service, load);
+        admission.record_load(&self.view.borrow(), &job.service, load);
     }
 
     /// Notes that an endpoint of a service without keys had no room.
     pub(super) fn turned_away(&self, job: &Job) {
         let mut admission = self.admission.borrow_mut();
-        admission.turned_away(clock::mono(), &self.view.borrow(), &job.service);
+        admission.record_rejection(clock::mono(), &self.view.borrow(), &job.service);
     }
 
     /// Whether an endpoint has said that it leaves, or is not listed.
@@ -278,7 +278,9 @@
 
     /// Notes that another process has the endpoint's address.
     pub(super) fn gone(&self, endpoint: &EndpointStart) {
-        self.admission.borrow_mut().gone(clock::mono(), endpoint);
+        self.admission
+            .borrow_mut()
+            .record_replaced(clock::mono(), endpoint);
     }
 
     /// Notes that the endpoint failed or refused a request.
@@ -290,13 +292,17 @@
     /// Notes that the endpoint took no connection or fell silent.
     pub(super) fn unreachable(&self, endpoint: &EndpointStart) {
         self.refused(endpoint);
-        self.admission.borrow_mut().failed(clock::mono(), endpoint);
+        self.admission
+            .borrow_mut()
+            .record_failure(clock::mono(), endpoint);
     }
 
     /// Notes that the endpoint reset a connection.
     pub(super) fn reset(&self, endpoint: &EndpointStart) {
         self.refused(endpoint);
-        self.admission.borrow_mut().reset(clock::mono(), endpoint);
+        self.admission
+            .borrow_mut()
+            .record_reset(clock::mono(), endpoint);
     }
 
     /// Requests a second that all instances together may send to an endpoint, where it is cold
@@ -318,26 +324,26 @@
     /// Notes that a cold endpoint is to get nothing for a while.
     pub(super) fn cold_busy(&self, endpoint: &EndpointStart, for_ms: u64) {
         let until = clock::mono().plus(for_ms);
-        self.admission.borrow_mut().cold_busy(endpoint, until);
+        self.admission.borrow_mut().hold_back_cold(endpoint, until);
     }
 
     /// Notes that the endpoint does not hold the key.
     pub(super) fn not_held(&self, job: &Job, fence: u64) {
         let mut admission = self.admission.borrow_mut();
-        admission.not_held(clock::mono(), &self.view.borrow(), job, fence);
+        admission.record_not_held(clock::mono(), &self.view.borrow(), job, fence);
     }
 
     pub(super) fn view_changed(&self) {
         let now = clock::mono();
         self.admission
             .borrow_mut()
-            .view_changed(now, &self.view.borrow());
+            .update_view(now, &self.view.borrow());
         self.pump();
     }
 
     /// Has requests that wait end by `end`, with the process.
     pub(super) fn end_by(&self, end: Mono) {
-        self.admission.borrow_mut().end_by(end);
+        self.admission.borrow_mut().limit_deadlines(end);
         self.pump();
     }
 
@@ -361,13 +367,15 @@
         let decided = self
             .admission
             .borrow_mut()
-            .pump(clock::mono(), &self.view.borrow());
+            .decide_waiting(clock::mono(), &self.view.borrow());
         for (ticket, decision) in decided {
             let Some(tx) = self.waiting.borrow_mut().swap_remove(&ticket) else {
                 continue;
             };
             if let Err(Decision::Send(choice)) = tx.send(decision) {
-                self.admission.borrow_mut().finished(&choice.endpoint);
+                self.admission
+                    .borrow_mut()
+                    .record_finished(&choice.endpoint);
             }
         }
     }
@@ -378,7 +386,7 @@
         let in_flight = self
             .admission
             .borrow()
-            .uses()
+            .usage()
             .map(|(_, count, _)| count)
             .sum();
         self.metrics.load(self.waiting(), in_flight);
@@ -388,7 +396,7 @@
         let mut endpoints: Vec<_> = self
             .admission
             .borrow()
-            .uses()
+            .usage()
             .map(|(tag, in_flight, waiting)| EndpointUse {
                 tag,
                 in_flight,
--- a/crates/citronway/src/gateway/traffic/suspicion.rs
+++ b/crates/citronway/src/gateway/traffic/suspicion.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use citronway_core::gateway::admission::{Choice, UnknownOutcomeReason, Refusal, RefusalReason};
+use citronway_core::gateway::admission::{Choice, Refusal, RefusalReason, UnknownOutcomeReason};
 use citronway_core::gateway::crashes::{
-    Fingerprint, Known, TrialEnd, TrialGrant, Work, copy_retry_after_ms,
+    CrashSnapshot, Fingerprint, TrialEnd, TrialGrant, Work, copy_retry_after_ms,
 };
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::time::Mono;
@@ -63,10 +63,11 @@
         if known.refused.is_empty() {
             return None;
         }
-        self.fingerprint().filter(|work| known.refuses(now, *work))
+        self.fingerprint()
+            .filter(|work| known.is_refused(now, *work))
     }
 
-    fn known(&self) -> Arc<Known> {
+    fn known(&self) -> Arc<CrashSnapshot> {
         Arc::clone(&self.state.view.borrow().crashes)
     }
 
@@ -100,7 +101,7 @@
             let endpoint = EndpointTag::of(endpoint);
             trial.ended(TrialEnd::Crashed { endpoint });
         }
-        if self.known().suspects(work) {
+        if self.known().is_suspect(work) {
             Look::CrashedAgain
         } else {
             Look::Crashed
@@ -123,7 +124,7 @@
             state,
             number,
             work,
-            end: TrialEnd::Open,
+            end: TrialEnd::Inconclusive,
         };
         let expected_ms = self.job.expected_ms();
         let grant = self.state.asks.trial(number, work, expected_ms, limit_ms);
@@ -149,7 +150,7 @@
             return None;
         }
         let work = self.fingerprint()?;
-        (self.has_crashed || known.suspects(work)).then_some(work)
+        (self.has_crashed || known.is_suspect(work)).then_some(work)
     }
 
     /// Clears work that was under suspicion: an endpoint ran it to its end.
@@ -162,7 +163,7 @@
             return;
         }
         let work = self.fingerprint();
-        if let Some(work) = work.filter(|work| known.suspects(*work)) {
+        if let Some(work) = work.filter(|work| known.is_suspect(*work)) {
             self.state.cleared(work);
         }
     }
--- a/crates/citronway/tests/operations.rs
+++ b/crates/citronway/tests/operations.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use citronway_core::gateway::admission::{UnknownOutcomeReason, RefusalReason};
+use citronway_core::gateway::admission::{RefusalReason, UnknownOutcomeReason};
 use googletest::prelude::*;
 
 #[gtest]
@@ -10,7 +10,9 @@
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/OPERATIONS.md");
     let text = std::fs::read_to_string(page)?;
     let refused = RefusalReason::ALL.into_iter().map(RefusalReason::word);
-    let in_doubt = UnknownOutcomeReason::ALL.into_iter().map(UnknownOutcomeReason::word);
+    let in_doubt = UnknownOutcomeReason::ALL
+        .into_iter()
+        .map(UnknownOutcomeReason::word);
     for word in refused.chain(in_doubt) {
         let row = format!("| `{word}` |");
         expect_that!(text, contains_substring(row));
