--- a/crates/citronway-core/benches/gateway_crashes.rs
+++ b/crates/citronway-core/benches/gateway_crashes.rs
@@ -41,7 +41,7 @@
             |b| {
                 b.iter(|| {
                     let work = black_box(&work).fingerprint(&key);
-                    known.suspects(work) || known.refuses(Mono(1), work)
+                    known.is_suspect(work) || known.is_refused(Mono(1), work)
                 });
             },
         );
@@ -90,7 +90,7 @@
 fn trials(c: &mut Criterion) {
     let known = full().snapshot(None, 0);
     c.bench_function("a look at a suspect, full table", |b| {
-        b.iter(|| known.suspects(black_box(Fingerprint(7))));
+        b.iter(|| known.is_suspect(black_box(Fingerprint(7))));
     });
     let mut open = Trials::default();
     for number in 0..u64::from(FULL) {
--- a/crates/citronway-core/tests/gateway_crash_ledger.rs
+++ b/crates/citronway-core/tests/gateway_crash_ledger.rs
@@ -205,7 +205,7 @@
     let third = crash_all(&mut ledger, BAD, 0..3);
     let first = third.plus(refused_for(&ledger, third, BAD));
     let tried = |at: Mono| {
-        let refuses = |rank: &u64| ledger.snapshot(None, rank * 7_919).refuses(at, BAD);
+        let refuses = |rank: &u64| ledger.snapshot(None, rank * 7_919).is_refused(at, BAD);
         (0..100).filter(|rank| !refuses(rank)).count()
     };
     expect_that!(tried(first.minus(500)), eq(0));
@@ -291,7 +291,7 @@
     expect_that!(ledger.len(), le(4_096));
     expect_that!(
         ledger
-            .known(None, 0)
+            .snapshot(None, 0)
             .refused
             .keys()
             .copied()
