--- a/crates/citronway-core/tests/admission_support/mod.rs
+++ b/crates/citronway-core/tests/admission_support/mod.rs
@@ -5,8 +5,8 @@
 
 use std::sync::Arc;
 
-use citronway_core::gateway::admission::{Admission, Job, Owners, Standing, View};
-use citronway_core::gateway::assignment::{Assignment, FENCES_A_MOVE, Holder, LAST_KEY, Range};
+use citronway_core::gateway::admission::{Admission, Job, Owners, ReportedLoad, View};
+use citronway_core::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, LAST_KEY, Range};
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::gateway::registry::{Listing, Registry};
 use citronway_core::gateway::routes::Repeat;
@@ -17,7 +17,7 @@
 pub struct Scene {
     registry: Registry,
     pub owners: IndexMap<ServiceName, Owners>,
-    pub standings: IndexMap<EndpointTag, Standing>,
+    pub standings: IndexMap<EndpointTag, ReportedLoad>,
 }
 
 fn listing(id: &str, service: &str, zone: &str, port: u16) -> Listing {
@@ -95,7 +95,7 @@
     pub fn move_first_to(&mut self, id: &str) {
         for owners in self.owners.values_mut() {
             let mut assignment = owners.assignment.as_ref().clone();
-            let fence = assignment.draw_fences(FENCES_A_MOVE);
+            let fence = assignment.allocate_fences(FENCES_PER_MOVE);
             if let Some(range) = assignment.ranges.first_mut() {
                 let mut next = range.holder.clone();
                 next.endpoint = EndpointStart::new(id, None);
@@ -107,17 +107,17 @@
     }
 
     pub fn view(&self) -> View {
-        let mut view = View::nothing(ZoneName::new("here"), 1);
+        let mut view = View::empty(ZoneName::new("here"), 1);
         view.registry = Arc::new(self.registry.clone());
         view.owners.clone_from(&self.owners);
-        view.standings.clone_from(&self.standings);
+        view.reported_loads.clone_from(&self.standings);
         view
     }
 
     /// An admission that has known the owners for a while.
     pub fn admission(&self, now: Mono) -> Admission {
         let mut admission = Admission::default();
-        admission.view_changed(now.minus(1_000), &self.view());
+        admission.update_view(now.minus(1_000), &self.view());
         admission
     }
 }
@@ -132,8 +132,8 @@
         repeat: Repeat::AtMostOnce,
         arrived: now,
         objective_at: now.plus(600),
-        last_at: now.plus(2_000),
-        caller_until: now.plus(4_000),
+        deadline: now.plus(2_000),
+        caller_deadline: now.plus(4_000),
         work_ms: 200,
         answer_bytes: 0,
         tried: Vec::new(),
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -6,7 +6,7 @@
     self, ElectionView, FormerLeader, LeaderRow, PeerState, Strength,
 };
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Order, OrderResult, Rivals, WriteResult,
+    Action, Leader, LeaderSettings, Order, OrderResult, PredecessorLimits, WriteResult,
 };
 use citronway_core::gateway::report::Report;
 use citronway_core::ids::{ServiceName, Session, Version};
@@ -68,7 +68,7 @@
     claimed: Option<(Version, Mono)>,
     cleared: bool,
     /// What earlier leaders may still do.
-    rivals: Rivals,
+    rivals: PredecessorLimits,
     /// Why this instance is not fit to lead, as it was last logged.
     unfit_for: Option<&'static str>,
 }
@@ -90,7 +90,7 @@
             claim_after: Mono::default(),
             claimed: None,
             cleared: false,
-            rivals: Rivals::default(),
+            rivals: PredecessorLimits::default(),
             unfit_for: None,
         }
     }
@@ -181,7 +181,7 @@
                 .entry(service.clone())
                 .or_insert_with(|| Leader::new(self.cfg, service.clone()));
             if owners.version > leader.version() {
-                leader.row_seen(owners.assignment.as_ref().clone(), owners.version);
+                leader.update_row(owners.assignment.as_ref().clone(), owners.version);
             }
         }
     }
@@ -246,16 +246,16 @@
         }
         self.rivals = self.rivals(now, cluster);
         for leader in self.leaders.values_mut() {
-            leader.begin(asked, self.rivals);
+            leader.begin_term(asked, self.rivals);
         }
     }
 
     /// What earlier leaders may still do, if none is known to have stopped.
-    fn rivals(&self, now: Mono, cluster: &Cluster) -> Rivals {
+    fn rivals(&self, now: Mono, cluster: &Cluster) -> PredecessorLimits {
         let former = self.office.as_ref().map_or(&[][..], |row| &row.former);
         let store_ms = cluster.store_ms(now);
         let claimed = self.claimed.map_or(now, |(_, at)| at);
-        let mut rivals = self.cfg.rivals(now);
+        let mut rivals = self.cfg.predecessor_limits(now);
         rivals.hold_until = election::former_holds_until(now, &self.cfg, former, store_ms, claimed);
         if former.is_empty() {
             rivals.connect_until = now;
@@ -267,7 +267,7 @@
         log::info!(cause; "this instance no longer leads");
         self.office = None;
         for leader in self.leaders.values_mut() {
-            leader.end();
+            leader.end_term();
         }
     }
 
@@ -279,7 +279,7 @@
 
     pub(super) fn wrote(&mut self, now: Mono, service: &ServiceName, result: WriteResult) {
         if let Some(leader) = self.leaders.get_mut(service) {
-            leader.wrote(now, result);
+            leader.handle_write_result(now, result);
         }
     }
 
@@ -322,7 +322,7 @@
         for service in cluster.sharded() {
             self.leaders.entry(service.clone()).or_insert_with(|| {
                 let mut leader = Leader::new(self.cfg, service);
-                leader.begin(self.contact, Rivals::default());
+                leader.begin_term(self.contact, PredecessorLimits::default());
                 leader
             });
         }
@@ -360,10 +360,10 @@
         };
         if office.former.iter().all(stopped) {
             self.cleared = true;
-            self.rivals = self.rivals.min(self.cfg.stopped_rivals(now));
+            self.rivals = self.rivals.min(self.cfg.stopped_predecessor_limits(now));
             log::info!(term = office.term; "earlier leaders have stopped");
             for leader in self.leaders.values_mut() {
-                leader.rival_stopped(now);
+                leader.predecessor_stopped(now);
             }
         }
     }
@@ -436,7 +436,7 @@
         let row = cluster.leader.as_ref();
         let term = row.map_or(0, |row| row.term).max(self.term) + 1;
         let store_ms = cluster.store_ms(now)?;
-        let wait_ms = self.cfg.rival_wait_ms() + CLOCK_MARGIN_MS;
+        let wait_ms = self.cfg.predecessor_wait_ms() + CLOCK_MARGIN_MS;
         let former = election::former_leaders_after(row, &peers, store_ms, wait_ms);
         let expected = row.map_or(Version(0), |row| row.version);
         let value = match own_rows::leader_value(&self.me, term, former) {
--- a/crates/citronway/src/gateway/metrics.rs
+++ b/crates/citronway/src/gateway/metrics.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use citronway_core::gateway::admission::{DoubtReason, RefusalReason};
+use citronway_core::gateway::admission::{RefusalReason, UnknownOutcomeReason};
 use citronway_core::gateway::cold::ColdGrant;
 use citronway_core::gateway::crashes::{TrialGrant, Verdict};
 use citronway_core::gateway::leader::{OrderKind, OrderResult};
@@ -33,7 +33,7 @@
     /// Refused without having run.
     NotRun(RefusalReason),
     /// It may have run.
-    MayHaveRun(DoubtReason),
+    MayHaveRun(UnknownOutcomeReason),
     /// It could not be accepted.
     Rejected,
 }
@@ -42,8 +42,8 @@
     const fn labels(self) -> (&'static str, &'static str) {
         match self {
             Self::Answered => ("answered", ""),
-            Self::NotRun(reason) => ("not_run", reason.word()),
-            Self::MayHaveRun(reason) => ("may_have_run", reason.word()),
+            Self::NotRun(reason) => ("not_run", reason.as_str()),
+            Self::MayHaveRun(reason) => ("may_have_run", reason.as_str()),
             Self::Rejected => ("rejected", ""),
         }
     }
@@ -335,7 +335,7 @@
     pub(super) fn count_verdict(&self, verdict: &Verdict) {
         let verdict = match verdict {
             Verdict::Harmful { .. } => "harmful",
-            Verdict::LetGo { .. } => "let_go",
+            Verdict::Cleared { .. } => "let_go",
         };
         self.judged.get_or_create(&JudgedLabels { verdict }).inc();
     }
--- a/crates/citronway/src/gateway/traffic/forwarding.rs
+++ b/crates/citronway/src/gateway/traffic/forwarding.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use citronway_core::gateway::admission::{
-    Choice, Decision, DoubtReason, Job, Refusal, RefusalReason,
+    Choice, Decision, Job, Refusal, RefusalReason, UnknownOutcomeReason,
 };
 use citronway_core::gateway::assignment::Range;
 use citronway_core::gateway::crashes::Fingerprint;
@@ -212,10 +212,13 @@
         self.run_by.push(choice.endpoint);
         if crashed == Look::CrashedAgain {
             let cause = "the endpoint crashed";
-            return Some(Outcome::Unknown(DoubtReason::Crashed, cause));
+            return Some(Outcome::Unknown(UnknownOutcomeReason::Crashed, cause));
         }
         if !self.may_run_again() || !self.may_send_again(now) {
-            return Some(Outcome::Unknown(DoubtReason::Broken, doubt.cause()));
+            return Some(Outcome::Unknown(
+                UnknownOutcomeReason::Broken,
+                doubt.cause(),
+            ));
         }
         None
     }
@@ -244,7 +247,7 @@
         let owners = view.owners.get(&self.job.service);
         let range = owners
             .zip(key)
-            .and_then(|(owners, key)| owners.assignment.at(key));
+            .and_then(|(owners, key)| owners.assignment.range_at(key));
         let owner = range.map_or_else(|| "-".to_owned(), |r| r.holder.endpoint.to_string());
         let fence = range.map_or(0, |range| range.holder.fence);
         let moving = range.is_some_and(Range::is_moving);
@@ -253,7 +256,7 @@
         let key = key.map_or(-1, i32::from);
         log::info!(
             request, service, key, owner = owner.as_str(), fence, moving, row, routes, waiting, instances,
-            reason = reason.word();
+            reason = reason.as_str();
             "no place found"
         );
     }
@@ -294,7 +297,7 @@
     }
 
     fn has_time(&self, now: Mono) -> bool {
-        now.plus(MIN_LEFT_MS) < self.job.last_at
+        now.plus(MIN_LEFT_MS) < self.job.deadline
     }
 
     fn may_run_again(&self) -> bool {
@@ -311,7 +314,7 @@
         if self.run_by.is_empty() {
             return Outcome::NotRun(refusal);
         }
-        Outcome::Unknown(DoubtReason::Broken, "no other endpoint has room")
+        Outcome::Unknown(UnknownOutcomeReason::Broken, "no other endpoint has room")
     }
 
     /// Ends a request that has no answer when the instance ends.
@@ -323,7 +326,7 @@
             return stopping();
         }
         let cause = "the instance stopped before the endpoint answered";
-        Outcome::Unknown(DoubtReason::Stopped, cause)
+        Outcome::Unknown(UnknownOutcomeReason::Stopped, cause)
     }
 
     /// Ends a request whose last send was refused.
@@ -336,7 +339,7 @@
 
     async fn send(&mut self, choice: &Choice) -> Sent {
         let started = clock::mono();
-        let left_ms = self.job.last_at.since(started);
+        let left_ms = self.job.deadline.since(started);
         if left_ms < MIN_LEFT_MS {
             return Sent::TooLate;
         }
@@ -402,7 +405,7 @@
     async fn exchange(&mut self, choice: &Choice) -> Result<Exchanged, CallError> {
         let mut link = self.link(choice).await?;
         let now = clock::mono();
-        let left_ms = self.job.last_at.since(now);
+        let left_ms = self.job.deadline.since(now);
         let req = self.message.for_endpoint(&choice.endpoint, left_ms);
         self.sends += 1;
         self.open.reach(now, Stage::AtEndpoint);
