--- a/crates/citronway/src/gateway/traffic/asks.rs
+++ b/crates/citronway/src/gateway/traffic/asks.rs
@@ -14,21 +14,21 @@
 ///
 /// The leader answers within a few milliseconds; a grant that comes later no longer counts
 /// where the leader counted it.
-const COLD_ANSWER: Duration = Duration::from_millis(100);
+const COLD_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time for which a cold endpoint is left alone about which nobody answers, in milliseconds.
-const UNANSWERED_MS: u64 = 200;
+const NO_ANSWER_PAUSE_MS: u64 = 200;
 
 /// Rings to `control`.
 #[derive(Debug)]
-pub(super) struct Asks {
+pub(super) struct ControlClient {
     pub trials: mpsc::Sender<TrialEvent>,
     pub cold: mpsc::Sender<ColdQuery>,
 }
 
-impl Asks {
-    /// Asks whether a copy of work under suspicion may be sent, as request `number`.
-    pub(super) async fn trial(
+impl ControlClient {
+    /// ControlClient whether a copy of work under suspicion may be sent, as request `number`.
+    pub(super) async fn request_trial(
         &self,
         number: u64,
         work: Fingerprint,
@@ -36,7 +36,7 @@
         limit_ms: u64,
     ) -> TrialGrant {
         let (reply, granted) = oneshot::channel();
-        let ask = TrialQuery {
+        let query = TrialQuery {
             number,
             work,
             expected_ms,
@@ -46,7 +46,7 @@
         let busy = TrialGrant::Busy {
             for_ms: expected_ms,
         };
-        if let Err(e) = self.trials.try_send(TrialEvent::Request(ask)) {
+        if let Err(e) = self.trials.try_send(TrialEvent::Request(query)) {
             log::warn!(cause = e.to_string(); "a request for a trial was dropped");
             return busy;
         }
@@ -54,27 +54,27 @@
     }
 
     /// Tells that a trial has ended.
-    pub(super) fn trial_ended(&self, number: u64, work: Fingerprint, end: TrialEnd) {
+    pub(super) fn report_trial_end(&self, number: u64, work: Fingerprint, end: TrialEnd) {
         let ended = TrialEvent::Ended { number, work, end };
         if let Err(e) = self.trials.try_send(ended) {
             log::warn!(cause = e.to_string(); "the end of a trial was not told");
         }
     }
 
-    /// Asks whether a request may be sent to a cold endpoint, as request `number`.
-    pub(super) async fn cold(&self, number: u64, req: ColdRequest) -> ColdGrant {
+    /// ControlClient whether a request may be sent to a cold endpoint, as request `number`.
+    pub(super) async fn request_cold_send(&self, number: u64, req: ColdRequest) -> ColdGrant {
         let (reply, granted) = oneshot::channel();
         let busy = ColdGrant::Busy {
-            for_ms: UNANSWERED_MS,
+            for_ms: NO_ANSWER_PAUSE_MS,
         };
-        let ask = ColdQuery { number, req, reply };
-        if let Err(e) = self.cold.try_send(ask) {
+        let query = ColdQuery { number, req, reply };
+        if let Err(e) = self.cold.try_send(query) {
             log::warn!(cause = e.to_string(); "a request about a cold endpoint was dropped");
             return busy;
         }
-        match timeout(COLD_ANSWER, granted).await {
+        match timeout(COLD_ANSWER_TIMEOUT, granted).await {
             Ok(Ok(grant)) => grant,
-            // `control` has no leader to ask, or the leader does not answer.
+            // `control` has no leader to query, or the leader does not answer.
             Ok(Err(_)) | Err(_) => busy,
         }
     }
--- a/crates/citronway/src/gateway/traffic/cold.rs
+++ b/crates/citronway/src/gateway/traffic/cold.rs
@@ -8,13 +8,13 @@
 use tokio::sync::oneshot;
 
 use super::forwarding::Forwarding;
-use super::outcome::shown_id;
+use super::outcome::display_id;
 use crate::clock;
 
 /// How long a request waits for its turn at the cold owner of its key, and where other
 /// endpoints could run it, in milliseconds. Its key may change hands meanwhile.
-const OWNER_PATIENCE_MS: u64 = 150;
-const PATIENCE_MS: u64 = 20;
+const OWNER_MAX_WAIT_MS: u64 = 150;
+const MAX_WAIT_MS: u64 = 20;
 
 /// A request about a cold endpoint.
 #[derive(Debug)]
@@ -32,22 +32,26 @@
     ///
     /// Failure guarded against: an endpoint has just started, each instance sends it what it
     /// could do when it is warm, and it crashes.
-    pub(super) async fn take_cold_turn(&self, choice: &Choice) -> bool {
+    pub(super) async fn request_cold_send(&self, choice: &Choice) -> bool {
         let now = clock::mono();
         let endpoint = &choice.endpoint;
         let Some(per_s) = self.state.cold_per_s(now, &self.job.service, endpoint) else {
             return true;
         };
         let patience_ms = match choice.fence {
-            Some(_) => OWNER_PATIENCE_MS,
-            None => PATIENCE_MS,
+            Some(_) => OWNER_MAX_WAIT_MS,
+            None => MAX_WAIT_MS,
         };
         let req = ColdRequest {
             endpoint: EndpointTag::of(endpoint),
             per_s,
             max_wait_ms: patience_ms,
         };
-        let grant = self.state.asks.cold(self.state.ticket(), req).await;
+        let grant = self
+            .state
+            .control
+            .request_cold_send(self.state.next_ticket(), req)
+            .await;
         self.state.metrics.count_cold_request(&grant);
         match grant {
             ColdGrant::Granted { after_ms: 0 } => true,
@@ -56,9 +60,9 @@
                 true
             }
             ColdGrant::Busy { for_ms } => {
-                let request = shown_id(self.words.id.as_ref());
+                let request = display_id(self.metadata.id.as_ref());
                 log::debug!(request, endpoint:%, for_ms; "a cold endpoint takes no more now");
-                self.state.cold_busy(endpoint, for_ms);
+                self.state.record_cold_busy(endpoint, for_ms);
                 false
             }
         }
--- a/crates/citronway/src/gateway/traffic/connection.rs
+++ b/crates/citronway/src/gateway/traffic/connection.rs
@@ -16,50 +16,50 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-use super::open_requests::Open;
+use super::open_requests::OpenGuard;
 use super::request;
 use super::state::{Phase, State, Stop};
 use crate::clock;
 
 /// Smallest buffer for a head that the library takes, in bytes.
-const MIN_HEAD: usize = 8_192;
+const MIN_HEAD_BYTES: usize = 8_192;
 
 /// Time between two looks at how long a connection is idle.
-const IDLE_LOOK: Duration = Duration::from_millis(500);
+const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
 
 /// Time after the signal to stop in which callers still arrive, in milliseconds: the
 /// balancer asks once a second and takes an instance out after two misses.
-const STILL_ARRIVING_MS: u64 = 2_800;
+const LAME_DUCK_MS: u64 = 2_800;
 
-/// Part of the grace after which no more requests are taken at the latest, in hundredths:
+/// Part of the grace after which no more requests are taken at the latest, in percent:
 /// where the grace is short, those that were taken need the other half of it.
-const CLOSED_AT: u64 = 50;
+const CLOSE_AT_PERCENT: u64 = 50;
 
-/// Part of the grace after which each request has an answer, in hundredths.
+/// Part of the grace after which each request has an answer, in percent.
 ///
-/// Endpoints are given five sixths of the grace, 83 hundredths, to answer; what they are
+/// Endpoints are given five sixths of the grace, 83 percent, to answer; what they are
 /// still at then may be broken off. The rest of the grace is for the answers' way out.
-const ANSWERED_AT: u64 = 90;
+const ANSWER_BY_PERCENT: u64 = 90;
 
-/// Part of the grace that the last answers have for their way out, in hundredths; then the
+/// Part of the grace that the last answers have for their way out, in percent; then the
 /// process ends though a caller has not taken its answer.
 ///
 /// They are up to 40 on a machine of 0.1 cores at a millisecond of its processor each:
 /// 0.4 s. What is left of the grace is for the log and the exit.
-const WAY_OUT: u64 = 7;
+const FLUSH_PERCENT: u64 = 7;
 
 /// Time between two looks at how far a stop has come.
-const END_LOOK: Duration = Duration::from_millis(20);
+const DRAIN_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
 /// Where a connection stands between two requests.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     /// A request was taken.
-    taken: Cell<bool>,
+    has_request: Cell<bool>,
     /// Requests taken and not answered in full.
     active: Cell<u32>,
     /// When the last byte came or the last answer ended.
-    touched: Cell<Mono>,
+    last_activity: Cell<Mono>,
     /// Bytes have come since the last answer ended.
     reading: Cell<bool>,
 }
@@ -71,30 +71,30 @@
         return;
     }
     let progress = Rc::new(Progress::default());
-    progress.touched.set(clock::mono());
-    let watched = Watched {
+    progress.last_activity.set(clock::mono());
+    let monitored = MonitoredStream {
         stream,
         progress: Rc::clone(&progress),
     };
     let limits = state.limits();
     let service = service_fn(|req| {
-        progress.taken.set(true);
+        progress.has_request.set(true);
         progress.active.set(progress.active.get() + 1);
         progress.reading.set(false);
-        let done = Done {
+        let guard = RequestGuard {
             progress: Rc::clone(&progress),
-            open: state.open.take(clock::mono()),
+            open: state.open_requests.insert(clock::mono()),
         };
-        let answer = request::answer(Rc::clone(&state), req, done);
+        let answer = request::answer(Rc::clone(&state), req, guard);
         async move { Ok::<_, Infallible>(answer.await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
-        .max_buf_size(limits.header_bytes.max(MIN_HEAD))
-        .serve_connection(TokioIo::new(watched), service);
+        .max_buf_size(limits.header_bytes.max(MIN_HEAD_BYTES))
+        .serve_connection(TokioIo::new(monitored), service);
     tokio::pin!(connection);
-    let _open = state.connection_opened();
+    let _open = state.track_connection();
     let mut closing = false;
     loop {
         tokio::select! {
@@ -104,17 +104,17 @@
                 }
                 return;
             }
-            () = tokio::time::sleep(IDLE_LOOK), if !closing => {
+            () = tokio::time::sleep(IDLE_CHECK_PERIOD), if !closing => {
                 if is_overdue(&state, &progress) {
                     // The library goes on waiting for the rest of a first head.
-                    if !progress.taken.get() {
+                    if !progress.has_request.get() {
                         return;
                     }
                     connection.as_mut().graceful_shutdown();
                     closing = true;
                 }
             }
-            () = state.reached(Phase::Closing), if !closing => {
+            () = state.wait_for_phase(Phase::Closing), if !closing => {
                 connection.as_mut().graceful_shutdown();
                 closing = true;
             }
@@ -133,10 +133,10 @@
     } else {
         limits.idle_ms
     };
-    clock::mono().since(progress.touched.get()) > limit
+    clock::mono().since(progress.last_activity.get()) > limit
 }
 
-/// Resolves when the instance was told to stop and has answered everything, or when
+/// Resolves when the instance was stop_requested_at to stop and has answered everything, or when
 /// its grace ends.
 ///
 /// Failure: the process ended 5.5 s after the signal with requests at endpoints that had
@@ -147,72 +147,72 @@
 ///
 /// Where `control` has failed nobody tells; `usual_grace_ms` holds then, so that what was
 /// taken has its answers all the same.
-pub(super) async fn drained(state: &State, mut stop: watch::Receiver<Stop>, usual_grace_ms: u64) {
-    let is_told = |stop: &Stop| matches!(stop, Stop::Within { .. });
-    let grace_ms = match stop.wait_for(is_told).await.as_deref() {
+pub(super) async fn drain(state: &State, mut stop: watch::Receiver<Stop>, usual_grace_ms: u64) {
+    let is_requested = |stop: &Stop| matches!(stop, Stop::Within { .. });
+    let grace_ms = match stop.wait_for(is_requested).await.as_deref() {
         Ok(Stop::Within { grace_ms }) => *grace_ms,
         Ok(Stop::No) | Err(_) => {
-            state.log_open("control has ended, the traffic ends too");
+            state.log_open_requests("control has ended, the traffic ends too");
             usual_grace_ms
         }
     };
-    let told = clock::mono();
-    let part = |hundredths| grace_ms * hundredths / 100;
-    state.end_by(told.plus(part(ANSWERED_AT)));
-    let closes = told.plus(STILL_ARRIVING_MS.min(part(CLOSED_AT)));
+    let stop_requested_at = clock::mono();
+    let part = |percent| grace_ms * percent / 100;
+    state.set_end(stop_requested_at.plus(part(ANSWER_BY_PERCENT)));
+    let closes = stop_requested_at.plus(LAME_DUCK_MS.min(part(CLOSE_AT_PERCENT)));
     while clock::mono() < closes {
-        tokio::time::sleep(END_LOOK).await;
+        tokio::time::sleep(DRAIN_CHECK_PERIOD).await;
     }
-    state.log_open("idle connections are closed");
-    state.enter(Phase::Closing);
-    all_ended_by(state, told.plus(part(ANSWERED_AT))).await;
+    state.log_open_requests("idle connections are closed");
+    state.enter_phase(Phase::Closing);
+    wait_until_closed(state, stop_requested_at.plus(part(ANSWER_BY_PERCENT))).await;
     if state.open_connections() > 0 {
-        state.log_open("what has no answer gets one now");
-        state.enter(Phase::Ending);
+        state.log_open_requests("what has no answer gets one now");
+        state.enter_phase(Phase::Ending);
         // Failure guarded against: the process was paused or had no processor, and goes on
         // when this phase was to be over. The answers have their time to leave all the same.
-        all_ended_by(state, clock::mono().plus(part(WAY_OUT))).await;
+        wait_until_closed(state, clock::mono().plus(part(FLUSH_PERCENT))).await;
     }
-    state.log_open("the last connections end");
-    state.open.end_all(clock::mono());
+    state.log_open_requests("the last connections end");
+    state.open_requests.end_all(clock::mono());
 }
 
 /// Resolves once no connection is open, at `end` at the latest.
 ///
 /// By the clock that counts time in which the machine was suspended: the grace does too.
-async fn all_ended_by(state: &State, end: Mono) {
+async fn wait_until_closed(state: &State, end: Mono) {
     while state.open_connections() > 0 && clock::mono() < end {
-        tokio::time::sleep(END_LOOK).await;
+        tokio::time::sleep(DRAIN_CHECK_PERIOD).await;
     }
 }
 
 /// Marks a request as answered when the library has taken the last byte of its answer; up
 /// to a socket's buffer of it may still be on the way.
 #[derive(Debug)]
-pub(super) struct Done {
+pub(super) struct RequestGuard {
     progress: Rc<Progress>,
     /// The request, among those without a whole answer.
-    pub open: Open,
+    pub open: OpenGuard,
 }
 
-impl Drop for Done {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let progress = &self.progress;
         progress.active.set(progress.active.get().saturating_sub(1));
         // What has come since the head was the body of this request.
         progress.reading.set(false);
-        progress.touched.set(clock::mono());
+        progress.last_activity.set(clock::mono());
     }
 }
 
-/// Body of an answer that holds on to [`Done`] until it was sent.
+/// Body of an answer that holds on to [`RequestGuard`] until it was sent.
 #[derive(Debug)]
-pub(super) struct Answering {
+pub(super) struct GuardedBody {
     pub body: http_body_util::Full<bytes::Bytes>,
-    pub _done: Done,
+    pub _guard: RequestGuard,
 }
 
-impl hyper::body::Body for Answering {
+impl hyper::body::Body for GuardedBody {
     type Data = bytes::Bytes;
     type Error = Infallible;
 
@@ -234,12 +234,12 @@
 
 /// A stream that notes when bytes come.
 #[derive(Debug)]
-struct Watched {
+struct MonitoredStream {
     stream: TcpStream,
     progress: Rc<Progress>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for MonitoredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -248,13 +248,13 @@
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before && !self.progress.reading.replace(true) {
-            self.progress.touched.set(clock::mono());
+            self.progress.last_activity.set(clock::mono());
         }
         read
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for MonitoredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/citronway/src/gateway/traffic/ended.rs
+++ b/crates/citronway/src/gateway/traffic/ended.rs
@@ -13,36 +13,36 @@
 use crate::clock;
 use crate::gateway::http_link::{self, Listening};
 
-/// Time within which the answer to one look holds for others, in milliseconds.
+/// Time within which the answer to one probe holds for others, in milliseconds.
 ///
-/// Load: a full endpoint resets dozens of connections a second, and each look costs it one.
-const LOOK_HOLDS_MS: u64 = 100;
+/// Load: a full endpoint resets dozens of connections a second, and each probe costs it one.
+const PROBE_TTL_MS: u64 = 100;
 
-/// Looks at endpoints whose connections broke, the last one at each.
+/// ListenerProbes at endpoints whose connections broke, the last one at each.
 #[derive(Debug, Default)]
-pub(super) struct Looks {
-    last: RefCell<IndexMap<EndpointStart, (Mono, Look)>>,
+pub(super) struct ListenerProbes {
+    last: RefCell<IndexMap<EndpointStart, (Mono, SharedProbe)>>,
 }
 
-type Look = Shared<LocalBoxFuture<'static, Listening>>;
+type SharedProbe = Shared<LocalBoxFuture<'static, Listening>>;
 
-impl Looks {
+impl ListenerProbes {
     /// Whether something listens at the address of an endpoint whose connection has just
     /// broken.
-    pub(super) async fn at(&self, choice: &Choice) -> Listening {
+    pub(super) async fn probe(&self, choice: &Choice) -> Listening {
         let now = clock::mono();
-        let look = {
+        let probe = {
             let mut last = self.last.borrow_mut();
-            last.retain(|_, (at, _)| now.since(*at) < LOOK_HOLDS_MS);
-            let (_, look) = last
+            last.retain(|_, (at, _)| now.since(*at) < PROBE_TTL_MS);
+            let (_, probe) = last
                 .entry(choice.endpoint.clone())
-                .or_insert_with(|| (now, look(choice.address)));
-            look.clone()
+                .or_insert_with(|| (now, start_probe(choice.address)));
+            probe.clone()
         };
-        look.await
+        probe.await
     }
 }
 
-fn look(address: SocketAddr) -> Look {
+fn start_probe(address: SocketAddr) -> SharedProbe {
     http_link::probe_listener(address).boxed_local().shared()
 }
--- a/crates/citronway/src/gateway/traffic/forwarding.rs
+++ b/crates/citronway/src/gateway/traffic/forwarding.rs
@@ -17,10 +17,10 @@
 use http::{Method, Request, Uri};
 
 use super::open_requests::{OpenRequest, Stage};
-use super::outcome::{DEFAULT_RETRY_MS, Outcome, shown_id, stopping};
-use super::sent::{Doubt, Sent, Unsent, log_send};
+use super::outcome::{DEFAULT_RETRY_MS, Outcome, display_id, stopping};
+use super::sent::{Doubt, NotSentCause, SendResult, log_send};
 use super::state::{Phase, State};
-use super::suspicion::Look;
+use super::suspicion::CrashCheck;
 use super::trial::Trial;
 use crate::clock;
 use crate::gateway::http_link::{self, Answer, CallError, ConnectMode, Link};
@@ -28,14 +28,14 @@
 
 /// Time under which a request is not sent any more, in milliseconds: it would reach
 /// the endpoint with no time to work.
-const MIN_LEFT_MS: u64 = 20;
+const MIN_SEND_TIME_MS: u64 = 20;
 
 /// Times the usual work that an endpoint is waited for where another could run the
 /// request: one in a hundred takes longer when all are well.
-const PATIENCE_WORKS: u64 = 5;
+const ENDPOINT_TIMEOUT_FACTOR: u64 = 5;
 
 /// Shortest time after a refusal before the same request is sent again.
-const AFTER_REFUSAL: Duration = Duration::from_millis(10);
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(10);
 
 /// What goes to an endpoint.
 #[derive(Debug)]
@@ -66,17 +66,17 @@
 pub(super) struct Forwarding<'a> {
     pub state: &'a Rc<State>,
     pub route: &'a Route,
-    pub words: &'a RequestMetadata,
+    pub metadata: &'a RequestMetadata,
     /// Where it stands; what it is told at a stop rests on it.
     pub open: &'a OpenRequest,
     pub message: Message,
     pub job: Job,
     /// Endpoints that may have run it.
-    pub run_by: Vec<EndpointStart>,
+    pub may_have_run_at: Vec<EndpointStart>,
     /// Sends that an endpoint saw.
     pub sends: u32,
     /// Answer of an endpoint that failed, while another is asked.
-    pub failed: Option<Answer>,
+    pub failed_answer: Option<Answer>,
     /// Fingerprint of its work, once it was needed.
     pub work: OnceCell<Fingerprint>,
     /// What was granted for the present send, where its work is under suspicion.
@@ -87,36 +87,36 @@
 
 impl Forwarding<'_> {
     /// Sends it until it is answered or nothing is left to try.
-    pub(super) async fn travel(mut self) -> Outcome {
-        let ending = self.state.reached(Phase::Ending);
+    pub(super) async fn run(mut self) -> Outcome {
+        let ending = self.state.wait_for_phase(Phase::Ending);
         let outcome = tokio::select! {
             biased;
-            outcome = self.try_all() => outcome,
-            () = ending => self.broken_off(),
+            outcome = self.send_until_answered() => outcome,
+            () = ending => self.end_for_stop(),
         };
-        match (outcome, self.failed) {
+        match (outcome, self.failed_answer) {
             (answered @ Outcome::Answered(_), _) | (answered, None) => answered,
             // What an endpoint said is worth more than that another could not be asked.
             (_, Some(answer)) => Outcome::Answered(answer),
         }
     }
 
-    async fn try_all(&mut self) -> Outcome {
+    async fn send_until_answered(&mut self) -> Outcome {
         loop {
             let began = clock::mono();
             // No copy keeps others from being tried while it waits for a place.
             self.trial = None;
-            if let Some(work) = self.harmful(began) {
-                return self.refused_as_harmful(work);
+            if let Some(work) = self.harmful_work(began) {
+                return self.refuse_harmful(work);
             }
-            self.open.reach(began, Stage::Waiting);
-            let choice = match self.state.place(self.job.clone()).await {
+            self.open.enter_stage(began, Stage::Waiting);
+            let choice = match self.state.find_place(self.job.clone()).await {
                 Some(Decision::Send(choice)) => choice,
                 Some(Decision::Refuse(refusal)) => {
-                    self.log_inputs(refusal.reason);
-                    return self.refused(refusal);
+                    self.log_refusal_inputs(refusal.reason);
+                    return self.refuse(refusal);
                 }
-                None => return self.spent(RefusalReason::Overloaded),
+                None => return self.refuse_with(RefusalReason::Overloaded),
             };
             let class = Class::of(self.route);
             let placed = clock::mono();
@@ -124,19 +124,19 @@
             if self.sends == 0 {
                 self.state.metrics.record_wait(class, waited_ms);
             }
-            self.open.goes_to(placed, &choice);
+            self.open.set_endpoint(placed, &choice);
             let in_flight = self.state.in_flight(&choice);
             // It may have become known while this try waited.
-            if let Some(work) = self.harmful(placed) {
-                return self.refused_as_harmful(work);
+            if let Some(work) = self.harmful_work(placed) {
+                return self.refuse_harmful(work);
             }
-            if let Some(refusal) = self.take_trial().await {
-                return self.refused(refusal);
+            if let Some(refusal) = self.request_trial().await {
+                return self.refuse(refusal);
             }
-            if !self.take_cold_turn(&choice).await {
+            if !self.request_cold_send(&choice).await {
                 drop(in_flight);
                 if !self.has_time(clock::mono()) {
-                    return self.spent(RefusalReason::Overloaded);
+                    return self.refuse_with(RefusalReason::Overloaded);
                 }
                 continue;
             }
@@ -148,34 +148,34 @@
                 self.job.tried.push(choice.endpoint.clone());
             }
             match sent {
-                Sent::Answer(answer) => {
-                    if let Some(outcome) = self.answered(now, &choice, answer) {
+                SendResult::Answer(answer) => {
+                    if let Some(outcome) = self.handle_answer(now, &choice, answer) {
                         return outcome;
                     }
                 }
-                Sent::TooLate => return self.spent(RefusalReason::Overloaded),
-                Sent::Nowhere(cause) => {
-                    self.not_sent(&choice, &cause);
+                SendResult::TooLate => return self.refuse_with(RefusalReason::Overloaded),
+                SendResult::NotSent(cause) => {
+                    self.record_unsent(&choice, &cause);
                     if !self.has_time(now) {
-                        return self.spent(RefusalReason::Unreachable);
+                        return self.refuse_with(RefusalReason::Unreachable);
                     }
                 }
-                Sent::Refused(meaning) => {
-                    self.refused_by(&choice, meaning);
+                SendResult::Refused(meaning) => {
+                    self.record_refusal(&choice, meaning);
                     if !self.may_send_again(now) {
-                        return self.spent(RefusalReason::EndpointRefused);
+                        return self.refuse_with(RefusalReason::EndpointRefused);
                     }
                     // It has not run there, and is with nobody until it is sent again.
-                    self.open.reach(now, Stage::Waiting);
-                    tokio::time::sleep(AFTER_REFUSAL).await;
+                    self.open.enter_stage(now, Stage::Waiting);
+                    tokio::time::sleep(REFUSAL_BACKOFF).await;
                 }
-                Sent::Unknown(doubt) => {
-                    if let Some(outcome) = self.in_doubt(now, choice, doubt).await {
+                SendResult::MayHaveRun(doubt) => {
+                    if let Some(outcome) = self.handle_uncertain(now, choice, doubt).await {
                         return outcome;
                     }
                 }
-                Sent::TimedOut => {
-                    self.state.refused(&choice.endpoint);
+                SendResult::TimedOut => {
+                    self.state.record_failure(&choice.endpoint);
                     return Outcome::TimedOut;
                 }
             }
@@ -183,34 +183,39 @@
     }
 
     /// Notes that nothing reached the endpoint.
-    fn not_sent(&self, choice: &Choice, cause: &Unsent) {
+    fn record_unsent(&self, choice: &Choice, cause: &NotSentCause) {
         match cause {
-            Unsent::NoConnection => self.state.unreachable(&choice.endpoint),
-            Unsent::Reset => {
-                self.state.reset(&choice.endpoint);
-                self.note_turned_away(choice);
+            NotSentCause::NoConnection => self.state.record_unreachable(&choice.endpoint),
+            NotSentCause::Reset => {
+                self.state.record_reset(&choice.endpoint);
+                self.record_full(choice);
             }
         }
     }
 
     /// Takes that the endpoint may have run it; none if it is to be sent again.
-    async fn in_doubt(&mut self, now: Mono, choice: Choice, doubt: Doubt) -> Option<Outcome> {
+    async fn handle_uncertain(
+        &mut self,
+        now: Mono,
+        choice: Choice,
+        doubt: Doubt,
+    ) -> Option<Outcome> {
         let crashed = match doubt {
-            Doubt::Broken | Doubt::Truncated => self.look_at(&choice).await,
-            Doubt::Foreign | Doubt::Silent => Look::NotCrashed,
+            Doubt::Broken | Doubt::Truncated => self.check_for_crash(&choice).await,
+            Doubt::Foreign | Doubt::NoAnswer => CrashCheck::NotCrashed,
         };
         match doubt {
             Doubt::Broken => {
-                self.state.reset(&choice.endpoint);
-                self.note_turned_away(&choice);
+                self.state.record_reset(&choice.endpoint);
+                self.record_full(&choice);
             }
-            Doubt::Foreign | Doubt::Silent | Doubt::Truncated => {
-                self.state.refused(&choice.endpoint);
+            Doubt::Foreign | Doubt::NoAnswer | Doubt::Truncated => {
+                self.state.record_failure(&choice.endpoint);
             }
         }
-        self.has_crashed |= crashed != Look::NotCrashed;
-        self.run_by.push(choice.endpoint);
-        if crashed == Look::CrashedAgain {
+        self.has_crashed |= crashed != CrashCheck::NotCrashed;
+        self.may_have_run_at.push(choice.endpoint);
+        if crashed == CrashCheck::CrashedAgain {
             let cause = "the endpoint crashed";
             return Some(Outcome::Unknown(UnknownOutcomeReason::Crashed, cause));
         }
@@ -223,25 +228,25 @@
         None
     }
 
-    fn log_send(&self, now: Mono, choice: &Choice, sent: &Sent) {
+    fn log_send(&self, now: Mono, choice: &Choice, sent: &SendResult) {
         let work = match sent {
-            Sent::Unknown(_) => self.fingerprint(),
-            Sent::Answer(_)
-            | Sent::Refused(_)
-            | Sent::Nowhere(_)
-            | Sent::TooLate
-            | Sent::TimedOut => None,
+            SendResult::MayHaveRun(_) => self.fingerprint(),
+            SendResult::Answer(_)
+            | SendResult::Refused(_)
+            | SendResult::NotSent(_)
+            | SendResult::TooLate
+            | SendResult::TimedOut => None,
         };
         let ms = now.since(self.job.arrived);
-        log_send(self.words, choice, sent, self.sends, ms, work);
+        log_send(self.metadata, choice, sent, self.sends, ms, work);
     }
 
     /// Logs what a refusal was decided by, with versions.
-    fn log_inputs(&self, reason: RefusalReason) {
-        let request = shown_id(self.words.id.as_ref());
+    fn log_refusal_inputs(&self, reason: RefusalReason) {
+        let request = display_id(self.metadata.id.as_ref());
         let service = self.job.service.as_str();
         let key = self.job.key;
-        let waiting = self.state.waiting();
+        let waiting = self.state.waiting_count();
         let view = self.state.view.borrow();
         let routes = view.routes.as_ref().map_or(0, |routes| routes.version.0);
         let owners = view.owners.get(&self.job.service);
@@ -262,56 +267,56 @@
     }
 
     /// Takes an endpoint's answer; `None` if another endpoint is to be asked.
-    fn answered(&mut self, now: Mono, choice: &Choice, answer: Answer) -> Option<Outcome> {
+    fn handle_answer(&mut self, now: Mono, choice: &Choice, answer: Answer) -> Option<Outcome> {
         if answer.status.is_server_error() {
             // The endpoint's own failure: it ran. Another endpoint may do better; the
             // owner of a key has no other.
-            self.state.refused(&choice.endpoint);
-            self.run_by.push(choice.endpoint.clone());
+            self.state.record_failure(&choice.endpoint);
+            self.may_have_run_at.push(choice.endpoint.clone());
             let other = choice.fence.is_none() && self.may_run_again();
             if other && now < self.job.objective_at && self.may_send_again(now) {
-                self.failed = Some(answer);
+                self.failed_answer = Some(answer);
                 return None;
             }
         }
         Some(Outcome::Answered(answer))
     }
 
-    fn refused_by(&self, choice: &Choice, meaning: AnswerKind) {
+    fn record_refusal(&self, choice: &Choice, meaning: AnswerKind) {
         match (meaning, choice.fence) {
-            (AnswerKind::Misdirected, Some(fence)) => self.state.not_held(&self.job, fence),
-            (AnswerKind::Misdirected, None) => self.state.gone(&choice.endpoint),
+            (AnswerKind::Misdirected, Some(fence)) => self.state.record_not_held(&self.job, fence),
+            (AnswerKind::Misdirected, None) => self.state.record_gone(&choice.endpoint),
             (AnswerKind::Full, _) => {
-                self.state.refused(&choice.endpoint);
-                self.note_turned_away(choice);
+                self.state.record_failure(&choice.endpoint);
+                self.record_full(choice);
             }
-            _ => self.state.refused(&choice.endpoint),
+            _ => self.state.record_failure(&choice.endpoint),
         }
     }
 
     /// Notes that an endpoint had no room, where any endpoint of its service would do.
-    fn note_turned_away(&self, choice: &Choice) {
+    fn record_full(&self, choice: &Choice) {
         if choice.fence.is_none() {
-            self.state.turned_away(&self.job);
+            self.state.record_full(&self.job);
         }
     }
 
     fn has_time(&self, now: Mono) -> bool {
-        now.plus(MIN_LEFT_MS) < self.job.deadline
+        now.plus(MIN_SEND_TIME_MS) < self.job.deadline
     }
 
     fn may_run_again(&self) -> bool {
         let attempts = self.route.attempts.max(1) as usize;
-        self.job.repeat == Repeat::Idempotent && self.run_by.len() < attempts
+        self.job.repeat == Repeat::Idempotent && self.may_have_run_at.len() < attempts
     }
 
     fn may_send_again(&self, now: Mono) -> bool {
-        self.has_time(now) && self.state.take_second_send(now, &self.job.service)
+        self.has_time(now) && self.state.take_retry(now, &self.job.service)
     }
 
     /// Ends a request that was refused at admission.
-    fn refused(&self, refusal: Refusal) -> Outcome {
-        if self.run_by.is_empty() {
+    fn refuse(&self, refusal: Refusal) -> Outcome {
+        if self.may_have_run_at.is_empty() {
             return Outcome::NotRun(refusal);
         }
         Outcome::Unknown(UnknownOutcomeReason::Broken, "no other endpoint has room")
@@ -320,9 +325,9 @@
     /// Ends a request that has no answer when the instance ends.
     ///
     /// What an endpoint has, or may have, is not said to be not run.
-    fn broken_off(&self) -> Outcome {
-        self.open.log_broken_off(clock::mono());
-        if self.run_by.is_empty() && !self.open.may_be_at_endpoint() {
+    fn end_for_stop(&self) -> Outcome {
+        self.open.log_stopped(clock::mono());
+        if self.may_have_run_at.is_empty() && !self.open.may_be_at_endpoint() {
             return stopping();
         }
         let cause = "the instance stopped before the endpoint answered";
@@ -330,29 +335,29 @@
     }
 
     /// Ends a request whose last send was refused.
-    fn spent(&self, reason: RefusalReason) -> Outcome {
-        self.refused(Refusal {
+    fn refuse_with(&self, reason: RefusalReason) -> Outcome {
+        self.refuse(Refusal {
             reason,
             retry_after_ms: DEFAULT_RETRY_MS,
         })
     }
 
-    async fn send(&mut self, choice: &Choice) -> Sent {
+    async fn send(&mut self, choice: &Choice) -> SendResult {
         let started = clock::mono();
         let left_ms = self.job.deadline.since(started);
-        if left_ms < MIN_LEFT_MS {
-            return Sent::TooLate;
+        if left_ms < MIN_SEND_TIME_MS {
+            return SendResult::TooLate;
         }
         let sends = self.sends;
-        let patience_ms = self.patience_ms(choice, left_ms);
-        let limit = Duration::from_millis(patience_ms);
+        let timeout_ms = self.endpoint_timeout_ms(choice, left_ms);
+        let limit = Duration::from_millis(timeout_ms);
         match tokio::time::timeout(limit, self.exchange(choice)).await {
             Ok(Ok(Exchanged { meaning, answer })) => match meaning {
                 AnswerKind::Ran => {
-                    self.state.answered(choice, self.job.key);
+                    self.state.record_answer(choice, self.job.key);
                     if choice.fence.is_none() {
                         let load = exchange::endpoint_load(&answer.headers);
-                        self.state.load_told(&self.job, load);
+                        self.state.record_load(&self.job, load);
                     }
                     if !answer.status.is_server_error() {
                         self.clear_suspicion();
@@ -362,27 +367,28 @@
                             .record_service_time(Class::of(self.route), took);
                         let bytes = answer.body.len();
                         let route = &self.route.name;
-                        self.state.served(route, &choice.endpoint, took, bytes);
+                        self.state
+                            .record_served(route, &choice.endpoint, took, bytes);
                     }
-                    Sent::Answer(answer)
+                    SendResult::Answer(answer)
                 }
                 AnswerKind::Full | AnswerKind::Misdirected | AnswerKind::NotRun => {
-                    Sent::Refused(meaning)
+                    SendResult::Refused(meaning)
                 }
-                AnswerKind::Foreign => Sent::Unknown(Doubt::Foreign),
+                AnswerKind::Foreign => SendResult::MayHaveRun(Doubt::Foreign),
             },
-            Ok(Err(CallError::Reset)) => Sent::Nowhere(Unsent::Reset),
-            Ok(Err(e)) if e.is_unsent() => Sent::Nowhere(Unsent::NoConnection),
-            Ok(Err(CallError::Timeout)) | Err(_) if patience_ms < left_ms => {
-                Sent::Unknown(Doubt::Silent)
+            Ok(Err(CallError::Reset)) => SendResult::NotSent(NotSentCause::Reset),
+            Ok(Err(e)) if e.is_unsent() => SendResult::NotSent(NotSentCause::NoConnection),
+            Ok(Err(CallError::Timeout)) | Err(_) if timeout_ms < left_ms => {
+                SendResult::MayHaveRun(Doubt::NoAnswer)
             }
             // The time ended while the connection was being made.
             Ok(Err(CallError::Timeout)) | Err(_) if self.sends == sends => {
-                Sent::Nowhere(Unsent::NoConnection)
+                SendResult::NotSent(NotSentCause::NoConnection)
             }
-            Ok(Err(CallError::Timeout)) | Err(_) => Sent::TimedOut,
-            Ok(Err(CallError::Truncated(_))) => Sent::Unknown(Doubt::Truncated),
-            Ok(Err(_)) => Sent::Unknown(Doubt::Broken),
+            Ok(Err(CallError::Timeout)) | Err(_) => SendResult::TimedOut,
+            Ok(Err(CallError::Truncated(_))) => SendResult::MayHaveRun(Doubt::Truncated),
+            Ok(Err(_)) => SendResult::MayHaveRun(Doubt::Broken),
         }
     }
 
@@ -390,37 +396,38 @@
     ///
     /// All the time that is left, unless another endpoint could run the request too:
     /// then the first is given several times the usual work.
-    fn patience_ms(&self, choice: &Choice, left_ms: u64) -> u64 {
+    fn endpoint_timeout_ms(&self, choice: &Choice, left_ms: u64) -> u64 {
         let attempts = self.route.attempts as usize;
         let other = choice.fence.is_none()
             && self.job.repeat == Repeat::Idempotent
-            && self.run_by.len() + 1 < attempts;
+            && self.may_have_run_at.len() + 1 < attempts;
         if !other {
             return left_ms;
         }
-        let patience = self.job.work_ms * PATIENCE_WORKS;
+        let patience = self.job.work_ms * ENDPOINT_TIMEOUT_FACTOR;
         patience.max(self.route.objective_ms / 2).min(left_ms)
     }
 
     async fn exchange(&mut self, choice: &Choice) -> Result<Exchanged, CallError> {
-        let mut link = self.link(choice).await?;
+        let mut link = self.acquire_link(choice).await?;
         let now = clock::mono();
         let left_ms = self.job.deadline.since(now);
         let req = self.message.for_endpoint(&choice.endpoint, left_ms);
         self.sends += 1;
-        self.open.reach(now, Stage::AtEndpoint);
+        self.open.enter_stage(now, Stage::AtEndpoint);
         let sent = link.send(req).await;
         let head = match sent {
             // A kept connection that the endpoint has closed: a new one is as good as
             // the first.
             Err(CallError::NotSent) => {
-                link = self.open(choice).await?;
+                link = self.open_link(choice).await?;
                 let req = self.message.for_endpoint(&choice.endpoint, left_ms);
                 link.send(req).await?
             }
             sent => sent?,
         };
-        let meaning = exchange::answer_kind(self.words.id.as_ref(), head.status(), head.headers());
+        let meaning =
+            exchange::answer_kind(self.metadata.id.as_ref(), head.status(), head.headers());
         let answer = http_link::read_answer(head).await?;
         if meaning != AnswerKind::Foreign {
             let mut pool = self.state.pool.borrow_mut();
@@ -429,7 +436,7 @@
         Ok(Exchanged { meaning, answer })
     }
 
-    async fn link(&self, choice: &Choice) -> Result<Link, CallError> {
+    async fn acquire_link(&self, choice: &Choice) -> Result<Link, CallError> {
         let now = clock::mono();
         let kept = {
             let mut pool = self.state.pool.borrow_mut();
@@ -437,11 +444,11 @@
         };
         match kept {
             Some(link) => Ok(link),
-            None => self.open(choice).await,
+            None => self.open_link(choice).await,
         }
     }
 
-    async fn open(&self, choice: &Choice) -> Result<Link, CallError> {
+    async fn open_link(&self, choice: &Choice) -> Result<Link, CallError> {
         self.state.pool.borrow_mut().count_opened();
         let mode = match self.job.repeat {
             Repeat::Idempotent => ConnectMode::Immediate,
--- a/crates/citronway/src/gateway/traffic/mod.rs
+++ b/crates/citronway/src/gateway/traffic/mod.rs
@@ -28,7 +28,7 @@
 
 use crate::clock;
 use crate::gateway::metrics::Metrics;
-use asks::Asks;
+use asks::ControlClient;
 use state::{Phase, State};
 
 pub use state::Stop;
@@ -41,14 +41,14 @@
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Time between two looks at those that wait, when nothing else causes one.
-const PUMP_PERIOD: Duration = Duration::from_millis(20);
+const WAITING_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
-/// Time in which what broke with an endpoint is gathered before it is told: its caller may
+/// Time in which what broke with an endpoint is gathered before it is to_control: its caller may
 /// send harmful work again at another instance within 20 ms.
-const CRASH_GATHERS: Duration = Duration::from_millis(3);
+const CRASH_BATCH_DELAY: Duration = Duration::from_millis(3);
 
-/// Time between two accounts of what was seen.
-const SEEN_PERIOD: Duration = Duration::from_millis(100);
+/// Time between two accounts of what was reports.
+const REPORT_PERIOD: Duration = Duration::from_millis(100);
 
 /// Serves callers until asked to stop and all requests are answered.
 ///
@@ -58,22 +58,22 @@
 pub async fn serve(
     cfg: &InstanceSettings,
     view: watch::Receiver<View>,
-    told: ControlSenders,
+    to_control: ControlSenders,
     stop: watch::Receiver<Stop>,
     metrics: Metrics,
 ) -> io::Result<()> {
     let mut listener = Some(TcpListener::bind(cfg.callers).await?);
-    let asks = Asks {
-        trials: told.trials,
-        cold: told.cold,
+    let control = ControlClient {
+        trials: to_control.trials,
+        cold: to_control.cold,
     };
-    let state = Rc::new(State::new(cfg, view, stop.clone(), metrics, asks));
-    let mut parts = JoinSet::new();
-    parts.spawn_local(follow_view(Rc::clone(&state)));
-    parts.spawn_local(pump(Rc::clone(&state)));
-    let seen = told.reports;
-    parts.spawn_local(account(Rc::clone(&state), seen.clone()));
-    let drained = connection::drained(&state, stop, cfg.grace_ms);
+    let state = Rc::new(State::new(cfg, view, stop.clone(), metrics, control));
+    let mut tasks = JoinSet::new();
+    tasks.spawn_local(follow_view(Rc::clone(&state)));
+    tasks.spawn_local(check_waiting(Rc::clone(&state)));
+    let reports = to_control.reports;
+    tasks.spawn_local(send_reports(Rc::clone(&state), reports.clone()));
+    let drained = connection::drain(&state, stop, cfg.grace_ms);
     tokio::pin!(drained);
     loop {
         tokio::select! {
@@ -81,18 +81,18 @@
             // Failure: callers go on connecting when few instances of a zone are left,
             // and the last of them are cut off when the process ends. A closed port
             // sends them elsewhere before a request is read.
-            () = state.reached(Phase::Closing), if listener.is_some() => {
+            () = state.wait_for_phase(Phase::Closing), if listener.is_some() => {
                 listener = None;
                 log::info!("the callers' port is closed");
             }
             () = &mut drained => {
-                tell_last(&state, &seen);
+                send_last_report(&state, &reports);
                 return Ok(());
             }
             // Failure: one of them panics, and the instance takes requests that nobody
             // sends on any more.
-            Some(Err(e)) = parts.join_next() => {
-                state.open.end_all(clock::mono());
+            Some(Err(e)) = tasks.join_next() => {
+                state.open_requests.end_all(clock::mono());
                 return Err(io::Error::other(e));
             }
         }
@@ -103,8 +103,8 @@
 ///
 /// Failure guarded against: the last request of an instance that stops ends with a crash of its
 /// endpoint, and nobody else hears of it.
-fn tell_last(state: &State, seen: &mpsc::Sender<TrafficReport>) {
-    if let Err(e) = seen.try_send(state.account()) {
+fn send_last_report(state: &State, reports: &mpsc::Sender<TrafficReport>) {
+    if let Err(e) = reports.try_send(state.take_report()) {
         log::warn!(cause = e.to_string(); "the last account of the traffic was dropped");
     }
 }
@@ -129,35 +129,35 @@
 async fn follow_view(state: Rc<State>) {
     let mut view = state.view.clone();
     while view.changed().await.is_ok() {
-        state.view_changed();
+        state.apply_view();
     }
 }
 
-async fn pump(state: Rc<State>) {
-    let mut ticks = interval(PUMP_PERIOD);
+async fn check_waiting(state: Rc<State>) {
+    let mut ticks = interval(WAITING_CHECK_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        state.anyone_waits().await;
+        state.wait_for_waiting().await;
         ticks.tick().await;
-        state.pump();
+        state.decide_waiting();
     }
 }
 
-async fn account(state: Rc<State>, seen: mpsc::Sender<TrafficReport>) {
-    let mut ticks = interval(SEEN_PERIOD);
+async fn send_reports(state: Rc<State>, reports: mpsc::Sender<TrafficReport>) {
+    let mut ticks = interval(REPORT_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
             // All that an endpoint had breaks at once.
-            () = state.crash_seen.notified() => tokio::time::sleep(CRASH_GATHERS).await,
+            () = state.crash_seen.notified() => tokio::time::sleep(CRASH_BATCH_DELAY).await,
         }
         // A full ring means that `control` is behind; the next account has the same
         // gauges, and what is missing of the samples only delays an estimate. Signs of
         // crashes come once.
-        if let Err(e) = seen.try_send(state.account()) {
+        if let Err(e) = reports.try_send(state.take_report()) {
             log::debug!(cause = e.to_string(); "an account of the traffic was dropped");
-            state.keep_signs(e.into_inner().signs);
+            state.restore_signs(e.into_inner().signs);
         }
     }
 }
--- a/crates/citronway/src/gateway/traffic/open_requests.rs
+++ b/crates/citronway/src/gateway/traffic/open_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that were taken and have no whole answer yet, and where each of them stands.
+//! Requests that were next_number and have no whole answer yet, and where each of them stands.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use log::Level;
 
-use super::outcome::shown_id;
+use super::outcome::display_id;
 use crate::clock;
 use crate::gateway::metrics::Metrics;
 
@@ -43,7 +43,7 @@
     ];
 
     /// Word for logs and metrics.
-    const fn word(self) -> &'static str {
+    const fn as_str(self) -> &'static str {
         match self {
             Self::Reading => "reading",
             Self::Waiting => "waiting",
@@ -59,7 +59,7 @@
 pub(super) struct OpenRequests {
     metrics: Metrics,
     requests: RefCell<IndexMap<u64, Rc<OpenRequest>>>,
-    taken: Cell<u64>,
+    next_number: Cell<u64>,
 }
 
 /// Where one request stands.
@@ -68,7 +68,7 @@
     arrived: Mono,
     stage: Cell<Stage>,
     /// When it came to its stage.
-    since: Cell<Mono>,
+    stage_since: Cell<Mono>,
     id: RefCell<Option<HeaderValue>>,
     endpoint: RefCell<Option<EndpointStart>>,
     /// Fence under which that endpoint holds its key; 0 without one.
@@ -77,14 +77,14 @@
 
 impl OpenRequest {
     /// Notes the id under which the caller sent it.
-    pub(super) fn name(&self, id: Option<&HeaderValue>) {
+    pub(super) fn set_id(&self, id: Option<&HeaderValue>) {
         self.id.replace(id.cloned());
     }
 
     /// Notes that it has come to a stage.
-    pub(super) fn reach(&self, now: Mono, stage: Stage) {
+    pub(super) fn enter_stage(&self, now: Mono, stage: Stage) {
         self.stage.set(stage);
-        self.since.set(now);
+        self.stage_since.set(now);
     }
 
     /// Whether an endpoint has it or may have it.
@@ -93,27 +93,27 @@
     }
 
     /// Notes the endpoint that was chosen for it; a connection is made first.
-    pub(super) fn goes_to(&self, now: Mono, choice: &Choice) {
+    pub(super) fn set_endpoint(&self, now: Mono, choice: &Choice) {
         self.endpoint.replace(Some(choice.endpoint.clone()));
         self.fence.set(choice.fence.unwrap_or_default());
-        self.reach(now, Stage::Connecting);
+        self.enter_stage(now, Stage::Connecting);
     }
 
     /// Logs that its way to an answer was broken off because the instance stops.
-    pub(super) fn log_broken_off(&self, now: Mono) {
+    pub(super) fn log_stopped(&self, now: Mono) {
         self.log_end(now, Level::Info, "broken off by the stop");
     }
 
     /// Logs where it stood when it ended without having come to its answer.
     pub(super) fn log_end(&self, now: Mono, level: Level, message: &str) {
         let id = self.id.borrow();
-        let request = shown_id(id.as_ref());
-        let stage = self.stage.get().word();
+        let request = display_id(id.as_ref());
+        let stage = self.stage.get().as_str();
         let endpoint = self.endpoint.borrow();
         let endpoint = endpoint.as_ref().map(ToString::to_string);
         let endpoint = endpoint.as_deref().unwrap_or("-");
         let fence = self.fence.get();
-        let stage_ms = now.since(self.since.get());
+        let stage_ms = now.since(self.stage_since.get());
         let ms = now.since(self.arrived);
         log::log!(level, request, stage, endpoint, fence, stage_ms, ms; "{message}");
     }
@@ -122,23 +122,23 @@
 impl OpenRequests {
     pub(super) fn new(metrics: Metrics) -> Self {
         for stage in Stage::ALL {
-            metrics.register_stage(stage.word());
+            metrics.register_stage(stage.as_str());
         }
         Self {
             metrics,
             requests: RefCell::default(),
-            taken: Cell::new(0),
+            next_number: Cell::new(0),
         }
     }
 
     /// Takes a request that has just come; it is unanswered until the guard is dropped.
-    pub(super) fn take(self: &Rc<Self>, now: Mono) -> Open {
-        let number = self.taken.get();
-        self.taken.set(number + 1);
+    pub(super) fn insert(self: &Rc<Self>, now: Mono) -> OpenGuard {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         let request = Rc::new(OpenRequest {
             arrived: now,
             stage: Cell::new(Stage::Reading),
-            since: Cell::new(now),
+            stage_since: Cell::new(now),
             id: RefCell::default(),
             endpoint: RefCell::default(),
             fence: Cell::new(0),
@@ -146,7 +146,7 @@
         self.requests
             .borrow_mut()
             .insert(number, Rc::clone(&request));
-        Open {
+        OpenGuard {
             all: Rc::clone(self),
             number,
             request,
@@ -164,9 +164,9 @@
     }
 
     /// Shows in the metrics how many stand where.
-    pub(super) fn show_counts(&self) {
+    pub(super) fn update_metrics(&self) {
         for (stage, count) in Stage::ALL.into_iter().zip(self.counts()) {
-            self.metrics.set_unanswered(stage.word(), count);
+            self.metrics.set_unanswered(stage.as_str(), count);
         }
     }
 
@@ -186,14 +186,14 @@
 
 /// A request that has no whole answer yet.
 #[derive(Debug)]
-pub(super) struct Open {
+pub(super) struct OpenGuard {
     all: Rc<OpenRequests>,
     number: u64,
     /// Where it stands.
     pub request: Rc<OpenRequest>,
 }
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         let known = self.all.requests.borrow_mut().swap_remove(&self.number);
         let stage = self.request.stage.get();
@@ -207,7 +207,7 @@
             self.request.log_end(now, Level::Error, UNANSWERED);
             return;
         }
-        self.all.metrics.count_caller_left(stage.word());
+        self.all.metrics.count_caller_left(stage.as_str());
         let message = "caller left before its answer";
         self.request.log_end(now, Level::Info, message);
     }
--- a/crates/citronway/src/gateway/traffic/outcome.rs
+++ b/crates/citronway/src/gateway/traffic/outcome.rs
@@ -11,7 +11,7 @@
 use http::{HeaderValue, Response, StatusCode};
 use http_body_util::Full;
 
-use super::connection::{Answering, Done};
+use super::connection::{GuardedBody, RequestGuard};
 use super::open_requests::Stage;
 use super::state::State;
 use crate::clock;
@@ -40,7 +40,7 @@
 
 impl Outcome {
     /// Label for metrics.
-    const fn ended(&self) -> OutcomeKind {
+    const fn kind(&self) -> OutcomeKind {
         match self {
             Self::Answered(_) => OutcomeKind::Answered,
             Self::NotRun(refusal) => OutcomeKind::NotRun(refusal.reason),
@@ -70,9 +70,12 @@
     state: &State,
     id: Option<&HeaderValue>,
     outcome: Outcome,
-    done: Done,
-) -> Response<Answering> {
-    done.open.request.reach(clock::mono(), Stage::Answering);
+    guard: RequestGuard,
+) -> Response<GuardedBody> {
+    guard
+        .open
+        .request
+        .enter_stage(clock::mono(), Stage::Answering);
     let (status, headers, body) = match outcome {
         Outcome::Answered(answer) => (
             answer.status,
@@ -81,7 +84,7 @@
         ),
         Outcome::NotRun(refusal) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            own_answer(
+            gateway_answer(
                 id,
                 status,
                 Some(refusal.retry_after_ms),
@@ -90,15 +93,15 @@
         }
         Outcome::Harmful(_) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            own_answer(id, status, None, RefusalReason::CrashesEndpoints.as_str())
+            gateway_answer(id, status, None, RefusalReason::CrashesEndpoints.as_str())
         }
-        Outcome::Unknown(_, cause) => own_answer(id, StatusCode::BAD_GATEWAY, None, cause),
-        Outcome::TimedOut => own_answer(id, StatusCode::GATEWAY_TIMEOUT, None, "timeout"),
-        Outcome::Rejected(status, cause) => own_answer(id, status, None, cause),
+        Outcome::Unknown(_, cause) => gateway_answer(id, StatusCode::BAD_GATEWAY, None, cause),
+        Outcome::TimedOut => gateway_answer(id, StatusCode::GATEWAY_TIMEOUT, None, "timeout"),
+        Outcome::Rejected(status, cause) => gateway_answer(id, status, None, cause),
     };
-    let mut response = Response::new(Answering {
+    let mut response = Response::new(GuardedBody {
         body: Full::new(body),
-        _done: done,
+        _guard: guard,
     });
     *response.status_mut() = status;
     *response.headers_mut() = headers;
@@ -109,7 +112,7 @@
     response
 }
 
-fn own_answer(
+fn gateway_answer(
     id: Option<&HeaderValue>,
     status: StatusCode,
     retry_after_ms: Option<u64>,
@@ -121,21 +124,21 @@
 }
 
 /// Id of a request as logs show it.
-pub(super) fn shown_id(id: Option<&HeaderValue>) -> &str {
+pub(super) fn display_id(id: Option<&HeaderValue>) -> &str {
     id.and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
 
 /// Logs and counts an outcome.
-pub(super) fn note(
+pub(super) fn record(
     state: &State,
     arrived: Mono,
     id: Option<&HeaderValue>,
     class: Class,
     outcome: &Outcome,
 ) {
-    let request = shown_id(id);
+    let request = display_id(id);
     let ms = clock::mono().since(arrived);
-    state.metrics.record_outcome(class, outcome.ended(), ms);
+    state.metrics.record_outcome(class, outcome.kind(), ms);
     match outcome {
         Outcome::Answered(answer) => {
             let status = answer.status.as_u16();
--- a/crates/citronway/src/gateway/traffic/request.rs
+++ b/crates/citronway/src/gateway/traffic/request.rs
@@ -11,7 +11,7 @@
 use http_body_util::{BodyExt as _, LengthLimitError, Limited};
 use hyper::body::Incoming;
 
-use super::connection::{Answering, Done};
+use super::connection::{GuardedBody, RequestGuard};
 use super::forwarding::{Forwarding, Message};
 use super::open_requests::OpenRequest;
 use super::outcome::{self, DEFAULT_RETRY_MS, Outcome, not_run};
@@ -30,53 +30,53 @@
 pub(super) async fn answer(
     state: Rc<State>,
     req: Request<Incoming>,
-    done: Done,
-) -> Response<Answering> {
+    guard: RequestGuard,
+) -> Response<GuardedBody> {
     let arrived = clock::mono();
     let (head, body) = req.into_parts();
-    let open = &done.open.request;
+    let open = &guard.open.request;
     let id = exchange::request_id(&head.headers);
-    open.name(id);
-    let words = match exchange::read_request_metadata(&head) {
-        Ok(words) => words,
+    open.set_id(id);
+    let metadata = match exchange::read_request_metadata(&head) {
+        Ok(metadata) => metadata,
         Err(e) => {
-            let request = outcome::shown_id(id);
+            let request = outcome::display_id(id);
             log::info!(request, cause = e.to_string(); "a request is malformed");
             let outcome = Outcome::Rejected(StatusCode::BAD_REQUEST, "malformed header");
-            outcome::note(&state, arrived, id, Class::UNKNOWN, &outcome);
-            return outcome::respond(&state, id, outcome, done);
+            outcome::record(&state, arrived, id, Class::UNKNOWN, &outcome);
+            return outcome::respond(&state, id, outcome, guard);
         }
     };
     let mut class = Class::UNKNOWN;
-    let taken = Taken {
+    let parsed = ParsedRequest {
         arrived,
         head: &head,
-        words: &words,
+        metadata: &metadata,
     };
-    let outcome = serve(&state, &taken, body, open, &mut class).await;
-    outcome::note(&state, arrived, id, class, &outcome);
-    outcome::respond(&state, id, outcome, done)
+    let outcome = serve(&state, &parsed, body, open, &mut class).await;
+    outcome::record(&state, arrived, id, class, &outcome);
+    outcome::respond(&state, id, outcome, guard)
 }
 
 /// A request whose head was read.
-struct Taken<'a> {
+struct ParsedRequest<'a> {
     arrived: Mono,
     head: &'a Parts,
-    words: &'a RequestMetadata,
+    metadata: &'a RequestMetadata,
 }
 
 async fn serve(
     state: &Rc<State>,
-    taken: &Taken<'_>,
+    parsed: &ParsedRequest<'_>,
     body: Incoming,
     open: &OpenRequest,
     class: &mut Class,
 ) -> Outcome {
-    let &Taken {
+    let &ParsedRequest {
         arrived,
         head,
-        words,
-    } = taken;
+        metadata,
+    } = parsed;
     if state.is_closing() {
         return outcome::stopping();
     }
@@ -84,7 +84,7 @@
     let Some(routes) = routes else {
         return not_run(RefusalReason::NoConfiguration, DEFAULT_RETRY_MS);
     };
-    let Some((_, route)) = routes.find(&words.host, head.uri.path()) else {
+    let Some((_, route)) = routes.find(&metadata.host, head.uri.path()) else {
         if routes.is_incomplete() {
             return not_run(RefusalReason::UnusableRoute, UNUSABLE_RETRY_MS);
         }
@@ -95,8 +95,8 @@
     let body = tokio::select! {
         biased;
         body = body => body,
-        () = state.reached(Phase::Ending) => {
-            open.log_broken_off(clock::mono());
+        () = state.wait_for_phase(Phase::Ending) => {
+            open.log_stopped(clock::mono());
             return outcome::stopping();
         }
     };
@@ -107,12 +107,12 @@
         }
         Err(_broken) => return Outcome::Rejected(StatusCode::BAD_REQUEST, "body not whole"),
     };
-    let usual = state.count(route);
+    let usual = state.record_arrival(route);
     let number = usual.number;
     let Some((service, known)) = routes.service(route, number) else {
         return not_run(RefusalReason::UnusableRoute, UNUSABLE_RETRY_MS);
     };
-    let key = match (known.sharded, words.key) {
+    let key = match (known.sharded, metadata.key) {
         (true, None) => return Outcome::Rejected(StatusCode::BAD_REQUEST, "no key"),
         (true, Some(key)) => {
             state.count_key(service, key);
@@ -121,13 +121,13 @@
         (false, _) => None,
     };
     state.count_request(arrived, service);
-    let stated_ms = words.wait_ms.unwrap_or(DEFAULT_WAIT_MS);
+    let stated_ms = metadata.wait_ms.unwrap_or(DEFAULT_WAIT_MS);
     let wait_ms = stated_ms.min(route.timeout_ms);
     // A caller that tries again states what is left of its time. What it has spent
     // before counts towards the objective too.
-    let spent_ms = state.usual_wait_ms(&route.name, stated_ms) - stated_ms;
+    let spent_ms = state.record_wait(&route.name, stated_ms) - stated_ms;
     let job = Job {
-        ticket: state.ticket(),
+        ticket: state.next_ticket(),
         service: service.clone(),
         key,
         priority: route.priority,
@@ -143,7 +143,7 @@
     let forwarding = Forwarding {
         state,
         route,
-        words,
+        metadata,
         open,
         message: Message {
             method: head.method.clone(),
@@ -152,12 +152,12 @@
             body,
         },
         job,
-        run_by: Vec::new(),
+        may_have_run_at: Vec::new(),
         sends: 0,
-        failed: None,
+        failed_answer: None,
         work: OnceCell::new(),
         trial: None,
         has_crashed: false,
     };
-    forwarding.travel().await
+    forwarding.run().await
 }
--- a/crates/citronway/src/gateway/traffic/sent.rs
+++ b/crates/citronway/src/gateway/traffic/sent.rs
@@ -4,7 +4,7 @@
 use citronway_core::gateway::crashes::Fingerprint;
 use citronway_platform::exchange::{AnswerKind, RequestMetadata};
 
-use super::outcome::shown_id;
+use super::outcome::display_id;
 use crate::gateway::http_link::Answer;
 
 /// Why it is not known whether a request ran.
@@ -13,7 +13,7 @@
     /// The answer belongs to another request.
     Foreign,
     /// The endpoint was silent for longer than another should be kept waiting.
-    Silent,
+    NoAnswer,
     /// The answer broke off.
     Truncated,
     /// The connection broke.
@@ -25,7 +25,7 @@
     pub(super) const fn cause(self) -> &'static str {
         match self {
             Self::Foreign => "the answer belongs to another request",
-            Self::Silent => "the endpoint was silent",
+            Self::NoAnswer => "the endpoint was silent",
             Self::Truncated => "the answer is not whole",
             Self::Broken => "the connection to the endpoint broke",
         }
@@ -33,7 +33,7 @@
 }
 
 /// Why nothing reached an endpoint.
-pub(super) enum Unsent {
+pub(super) enum NotSentCause {
     /// It takes no connection.
     NoConnection,
     /// It took one and reset it before anything was sent.
@@ -41,55 +41,59 @@
 }
 
 /// What came of one send.
-pub(super) enum Sent {
+pub(super) enum SendResult {
     /// The endpoint's answer.
     Answer(Answer),
     /// It has not run there.
     Refused(AnswerKind),
     /// Nothing reached the endpoint.
-    Nowhere(Unsent),
+    NotSent(NotSentCause),
     /// Nothing was tried: no time was left to work.
     TooLate,
     /// It may have run there.
-    Unknown(Doubt),
+    MayHaveRun(Doubt),
     /// The time ended.
     TimedOut,
 }
 
 /// Logs a send, `ms` after the request's arrival; `work` is told where it may have run.
 pub(super) fn log_send(
-    words: &RequestMetadata,
+    metadata: &RequestMetadata,
     choice: &Choice,
-    sent: &Sent,
+    sent: &SendResult,
     sends: u32,
     ms: u64,
     work: Option<Fingerprint>,
 ) {
-    let request = shown_id(words.id.as_ref());
+    let request = display_id(metadata.id.as_ref());
     let endpoint = &choice.endpoint;
     let fence = choice.fence.unwrap_or_default();
     match sent {
-        Sent::Answer(answer) => {
+        SendResult::Answer(answer) => {
             let status = answer.status.as_u16();
             log::info!(request, endpoint:%, fence, sends, status, ms; "endpoint answered");
         }
-        Sent::Refused(meaning) => {
+        SendResult::Refused(meaning) => {
             let refusal = format!("{meaning:?}");
             log::info!(request, endpoint:%, fence, sends, refusal; "endpoint did not run it");
         }
-        Sent::TooLate => log::info!(request, endpoint:%, fence, sends; "no time left to send"),
-        Sent::Nowhere(cause) => {
+        SendResult::TooLate => {
+            log::info!(request, endpoint:%, fence, sends; "no time left to send")
+        }
+        SendResult::NotSent(cause) => {
             let cause = match cause {
-                Unsent::NoConnection => "no connection",
-                Unsent::Reset => "reset before anything was sent",
+                NotSentCause::NoConnection => "no connection",
+                NotSentCause::Reset => "reset before anything was sent",
             };
             log::info!(request, endpoint:%, fence, sends, cause; "not sent");
         }
-        Sent::Unknown(doubt) => {
+        SendResult::MayHaveRun(doubt) => {
             let cause = doubt.cause();
             let work = work.map_or_else(|| "-".to_owned(), |work| work.to_string());
             log::info!(request, endpoint:%, fence, sends, work, cause; "endpoint may have run it");
         }
-        Sent::TimedOut => log::info!(request, endpoint:%, fence, sends; "endpoint was silent"),
+        SendResult::TimedOut => {
+            log::info!(request, endpoint:%, fence, sends; "endpoint was silent")
+        }
     }
 }
--- a/crates/citronway/src/gateway/traffic/state/guards.rs
+++ b/crates/citronway/src/gateway/traffic/state/guards.rs
@@ -46,7 +46,7 @@
                 .admission
                 .borrow_mut()
                 .record_finished(&choice.endpoint);
-            state.pump();
+            state.decide_waiting();
         }
     }
 }
@@ -64,6 +64,6 @@
             .admission
             .borrow_mut()
             .record_finished(&self.endpoint);
-        self.state.pump();
+        self.state.decide_waiting();
     }
 }
--- a/crates/citronway/src/gateway/traffic/state/mod.rs
+++ b/crates/citronway/src/gateway/traffic/state/mod.rs
@@ -19,8 +19,8 @@
 use indexmap::IndexMap;
 use tokio::sync::{Notify, oneshot, watch};
 
-use super::asks::Asks;
-use super::ended::Looks;
+use super::asks::ControlClient;
+use super::ended::ListenerProbes;
 use super::open_requests::OpenRequests;
 use super::pool::Pool;
 use super::seen::TrafficReport;
@@ -33,7 +33,7 @@
 pub use phase::Stop;
 
 /// Weight of the newest answer in the mean time of work, and size, of a route.
-const WORK_WEIGHT: f64 = 0.02;
+const MEAN_WEIGHT: f64 = 0.02;
 
 /// State of the traffic thread.
 #[derive(Debug)]
@@ -42,34 +42,34 @@
     pub stop: watch::Receiver<Stop>,
     pub pool: RefCell<Pool>,
     pub metrics: Metrics,
-    /// Looks at endpoints whose connections broke.
-    pub looks: Looks,
+    /// ListenerProbes at endpoints whose connections broke.
+    pub listener_probes: ListenerProbes,
     /// Requests without a whole answer.
-    pub open: Rc<OpenRequests>,
+    pub open_requests: Rc<OpenRequests>,
     admission: RefCell<Admission>,
     waiting: RefCell<IndexMap<u64, oneshot::Sender<Decision>>>,
-    any_waits: Notify,
-    tickets: Cell<u64>,
-    limit: RetryLimit,
+    waiting_added: Notify,
+    last_ticket: Cell<u64>,
+    retry_limit: RetryLimit,
     /// How much more than its service states a cold endpoint may get, as a factor.
     cold_overage: f64,
-    second_sends: RefCell<IndexMap<ServiceName, SharedRetryBudget>>,
+    retry_budgets: RefCell<IndexMap<ServiceName, SharedRetryBudget>>,
     /// Mean time of work by route, in milliseconds.
-    work: RefCell<IndexMap<String, Work>>,
+    route_stats: RefCell<IndexMap<String, RouteStats>>,
     answers: RefCell<IndexMap<EndpointTag, Answers>>,
-    keys: RefCell<IndexMap<ServiceName, Vec<u16>>>,
+    key_samples: RefCell<IndexMap<ServiceName, Vec<u16>>>,
     /// An endpoint crashed, and others are to know it at once.
     pub crash_seen: Notify,
     /// What was seen of work that may crash endpoints, since the last account.
     signs: RefCell<Vec<Sign>>,
     /// What `control` decides.
-    pub asks: Asks,
+    pub control: ControlClient,
     connections: Cell<u32>,
     phase: watch::Sender<Phase>,
 }
 
 #[derive(Debug)]
-struct Work {
+struct RouteStats {
     /// First service of the route.
     service: Option<ServiceName>,
     mean_ms: f64,
@@ -83,7 +83,7 @@
 
 /// What is usual on a route.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Usual {
+pub(super) struct RouteEstimate {
     /// Number of the request among those of its route.
     pub number: u64,
     /// Mean time of work, in milliseconds.
@@ -98,28 +98,28 @@
         view: watch::Receiver<View>,
         stop: watch::Receiver<Stop>,
         metrics: Metrics,
-        asks: Asks,
+        control: ControlClient,
     ) -> Self {
         Self {
             view,
             stop,
             pool: RefCell::default(),
-            open: Rc::new(OpenRequests::new(metrics.clone())),
+            open_requests: Rc::new(OpenRequests::new(metrics.clone())),
             metrics,
-            looks: Looks::default(),
+            listener_probes: ListenerProbes::default(),
             admission: RefCell::default(),
             waiting: RefCell::default(),
-            any_waits: Notify::new(),
-            tickets: Cell::new(0),
-            limit: cfg.retries,
+            waiting_added: Notify::new(),
+            last_ticket: Cell::new(0),
+            retry_limit: cfg.retries,
             cold_overage: cfg.cold_overage,
-            second_sends: RefCell::default(),
-            work: RefCell::default(),
+            retry_budgets: RefCell::default(),
+            route_stats: RefCell::default(),
             answers: RefCell::default(),
-            keys: RefCell::default(),
+            key_samples: RefCell::default(),
             crash_seen: Notify::new(),
             signs: RefCell::default(),
-            asks,
+            control,
             connections: Cell::new(0),
             phase: watch::Sender::new(Phase::Serving),
         }
@@ -135,17 +135,17 @@
         matches!(*self.stop.borrow(), Stop::Within { .. })
     }
 
-    pub(super) fn ticket(&self) -> u64 {
-        self.tickets.set(self.tickets.get() + 1);
-        self.tickets.get()
+    pub(super) fn next_ticket(&self) -> u64 {
+        self.last_ticket.set(self.last_ticket.get() + 1);
+        self.last_ticket.get()
     }
 
     /// Counts a request of a route and tells what is usual there.
-    pub(super) fn count(&self, route: &Route) -> Usual {
-        let mut work = self.work.borrow_mut();
+    pub(super) fn record_arrival(&self, route: &Route) -> RouteEstimate {
+        let mut work = self.route_stats.borrow_mut();
         // Instances begin at different places, so that few requests of each still
         // divide well over all.
-        let first = || Work {
+        let first = || RouteStats {
             service: route.targets.first().map(|target| target.service.clone()),
             // A first guess; the mean follows the answers.
             mean_ms: route.objective_ms as f64 * 0.3,
@@ -161,7 +161,7 @@
             reason = "times and sizes are positive and far below the range"
         )]
         let whole = |mean: f64| mean as u64;
-        Usual {
+        RouteEstimate {
             number: entry.taken,
             work_ms: whole(entry.mean_ms),
             answer_bytes: whole(entry.mean_bytes.unwrap_or_default()),
@@ -169,8 +169,8 @@
     }
 
     /// The longest time that callers of the route were seen to wait, this one included.
-    pub(super) fn usual_wait_ms(&self, route: &str, stated_ms: u64) -> u64 {
-        let mut work = self.work.borrow_mut();
+    pub(super) fn record_wait(&self, route: &str, stated_ms: u64) -> u64 {
+        let mut work = self.route_stats.borrow_mut();
         let Some(work) = work.get_mut(route) else {
             return stated_ms;
         };
@@ -179,7 +179,7 @@
     }
 
     pub(super) fn count_key(&self, service: &ServiceName, key: u16) {
-        let mut keys = self.keys.borrow_mut();
+        let mut keys = self.key_samples.borrow_mut();
         let list = keys.entry(service.clone()).or_default();
         if list.len() < MAX_KEYS {
             list.push(key);
@@ -187,24 +187,24 @@
     }
 
     pub(super) fn count_request(&self, now: Mono, service: &ServiceName) {
-        self.budget(service, |budget| budget.record_request(now));
+        self.with_budget(service, |budget| budget.record_request(now));
     }
 
-    pub(super) fn take_second_send(&self, now: Mono, service: &ServiceName) -> bool {
+    pub(super) fn take_retry(&self, now: Mono, service: &ServiceName) -> bool {
         let instances = self.view.borrow().instances;
-        self.budget(service, |budget| budget.try_take(now, instances))
+        self.with_budget(service, |budget| budget.try_take(now, instances))
     }
 
-    fn budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut SharedRetryBudget) -> T) -> T {
-        let mut all = self.second_sends.borrow_mut();
-        let limit = self.limit;
+    fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut SharedRetryBudget) -> T) -> T {
+        let mut all = self.retry_budgets.borrow_mut();
+        let limit = self.retry_limit;
         f(all
             .entry(service.clone())
             .or_insert_with(|| SharedRetryBudget::new(limit)))
     }
 
-    /// Asks for a place; waits for it if need be.
-    pub(super) async fn place(&self, job: Job) -> Option<Decision> {
+    /// ControlClient for a place; waits for it if need be.
+    pub(super) async fn find_place(&self, job: Job) -> Option<Decision> {
         let now = clock::mono();
         let ticket = job.ticket;
         let decided = self
@@ -216,7 +216,7 @@
         }
         let (tx, rx) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, tx);
-        self.any_waits.notify_one();
+        self.waiting_added.notify_one();
         let mut waiting = Waiting {
             state: self,
             ticket,
@@ -234,16 +234,22 @@
     }
 
     /// Notes a whole answer, its size and the time it took.
-    pub(super) fn served(&self, route: &str, endpoint: &EndpointStart, took_ms: u64, bytes: usize) {
+    pub(super) fn record_served(
+        &self,
+        route: &str,
+        endpoint: &EndpointStart,
+        took_ms: u64,
+        bytes: usize,
+    ) {
         let took = took_ms as f64;
-        let mut work = self.work.borrow_mut();
+        let mut work = self.route_stats.borrow_mut();
         let Some(work) = work.get_mut(route) else {
             return;
         };
         let relative = took / work.mean_ms.max(1.0);
-        work.mean_ms += (took - work.mean_ms) * WORK_WEIGHT;
+        work.mean_ms += (took - work.mean_ms) * MEAN_WEIGHT;
         let mean = work.mean_bytes.unwrap_or(bytes as f64);
-        work.mean_bytes = Some(mean + (bytes as f64 - mean) * WORK_WEIGHT);
+        work.mean_bytes = Some(mean + (bytes as f64 - mean) * MEAN_WEIGHT);
         let mut answers = self.answers.borrow_mut();
         let sum = answers.entry(EndpointTag::of(endpoint)).or_default();
         sum.served += 1.0;
@@ -251,55 +257,55 @@
     }
 
     /// Notes that the endpoint ran a request and answered.
-    pub(super) fn answered(&self, choice: &Choice, key: Option<u16>) {
+    pub(super) fn record_answer(&self, choice: &Choice, key: Option<u16>) {
         self.admission
             .borrow_mut()
             .record_answer(clock::mono(), choice, key);
     }
 
     /// Takes what an endpoint of a service without keys says of its load.
-    pub(super) fn load_told(&self, job: &Job, load: Option<EndpointLoad>) {
+    pub(super) fn record_load(&self, job: &Job, load: Option<EndpointLoad>) {
         let mut admission = self.admission.borrow_mut();
         admission.record_load(&self.view.borrow(), &job.service, load);
     }
 
     /// Notes that an endpoint of a service without keys had no room.
-    pub(super) fn turned_away(&self, job: &Job) {
+    pub(super) fn record_full(&self, job: &Job) {
         let mut admission = self.admission.borrow_mut();
         admission.record_rejection(clock::mono(), &self.view.borrow(), &job.service);
     }
 
     /// Whether an endpoint has said that it leaves, or is not listed.
-    pub(super) fn leaves(&self, endpoint: &EndpointStart) -> bool {
+    pub(super) fn is_leaving(&self, endpoint: &EndpointStart) -> bool {
         let view = self.view.borrow();
         let known = view.registry.get(endpoint);
         known.is_none_or(|known| known.listing.draining)
     }
 
     /// Notes that another process has the endpoint's address.
-    pub(super) fn gone(&self, endpoint: &EndpointStart) {
+    pub(super) fn record_gone(&self, endpoint: &EndpointStart) {
         self.admission
             .borrow_mut()
             .record_replaced(clock::mono(), endpoint);
     }
 
     /// Notes that the endpoint failed or refused a request.
-    pub(super) fn refused(&self, endpoint: &EndpointStart) {
+    pub(super) fn record_failure(&self, endpoint: &EndpointStart) {
         let mut answers = self.answers.borrow_mut();
         answers.entry(EndpointTag::of(endpoint)).or_default().failed += 1.0;
     }
 
     /// Notes that the endpoint took no connection or fell silent.
-    pub(super) fn unreachable(&self, endpoint: &EndpointStart) {
-        self.refused(endpoint);
+    pub(super) fn record_unreachable(&self, endpoint: &EndpointStart) {
+        self.record_failure(endpoint);
         self.admission
             .borrow_mut()
             .record_failure(clock::mono(), endpoint);
     }
 
     /// Notes that the endpoint reset a connection.
-    pub(super) fn reset(&self, endpoint: &EndpointStart) {
-        self.refused(endpoint);
+    pub(super) fn record_reset(&self, endpoint: &EndpointStart) {
+        self.record_failure(endpoint);
         self.admission
             .borrow_mut()
             .record_reset(clock::mono(), endpoint);
@@ -322,45 +328,45 @@
     }
 
     /// Notes that a cold endpoint is to get nothing for a while.
-    pub(super) fn cold_busy(&self, endpoint: &EndpointStart, for_ms: u64) {
+    pub(super) fn record_cold_busy(&self, endpoint: &EndpointStart, for_ms: u64) {
         let until = clock::mono().plus(for_ms);
         self.admission.borrow_mut().hold_back_cold(endpoint, until);
     }
 
     /// Notes that the endpoint does not hold the key.
-    pub(super) fn not_held(&self, job: &Job, fence: u64) {
+    pub(super) fn record_not_held(&self, job: &Job, fence: u64) {
         let mut admission = self.admission.borrow_mut();
         admission.record_not_held(clock::mono(), &self.view.borrow(), job, fence);
     }
 
-    pub(super) fn view_changed(&self) {
+    pub(super) fn apply_view(&self) {
         let now = clock::mono();
         self.admission
             .borrow_mut()
             .update_view(now, &self.view.borrow());
-        self.pump();
+        self.decide_waiting();
     }
 
     /// Has requests that wait end by `end`, with the process.
-    pub(super) fn end_by(&self, end: Mono) {
+    pub(super) fn set_end(&self, end: Mono) {
         self.admission.borrow_mut().limit_deadlines(end);
-        self.pump();
+        self.decide_waiting();
     }
 
     /// Requests that wait at this instance.
-    pub(super) fn waiting(&self) -> usize {
+    pub(super) fn waiting_count(&self) -> usize {
         self.waiting.borrow().len()
     }
 
     /// Resolves once a request waits.
-    pub(super) async fn anyone_waits(&self) {
+    pub(super) async fn wait_for_waiting(&self) {
         while self.waiting.borrow().is_empty() {
-            self.any_waits.notified().await;
+            self.waiting_added.notified().await;
         }
     }
 
     /// Decides about those that wait.
-    pub(super) fn pump(&self) {
+    pub(super) fn decide_waiting(&self) {
         if self.waiting.borrow().is_empty() {
             return;
         }
@@ -381,7 +387,7 @@
     }
 
     /// Account of what was seen since the last one.
-    pub(super) fn account(&self) -> TrafficReport {
+    pub(super) fn take_report(&self) -> TrafficReport {
         self.pool.borrow_mut().prune(clock::mono());
         let in_flight = self
             .admission
@@ -389,9 +395,9 @@
             .usage()
             .map(|(_, count, _)| count)
             .sum();
-        self.metrics.set_load(self.waiting(), in_flight);
+        self.metrics.set_load(self.waiting_count(), in_flight);
         self.metrics.set_connections(self.open_connections());
-        self.open.show_counts();
+        self.open_requests.update_metrics();
         let mut answers = std::mem::take(&mut *self.answers.borrow_mut());
         let mut endpoints: Vec<_> = self
             .admission
@@ -410,12 +416,12 @@
             answers,
             ..EndpointUse::default()
         }));
-        let keys = std::mem::take(&mut *self.keys.borrow_mut());
+        let keys = std::mem::take(&mut *self.key_samples.borrow_mut());
         let samples = keys
             .into_iter()
             .map(|(service, keys)| KeySamples { service, keys });
         let mut work = IndexMap::<ServiceName, (f64, f64)>::new();
-        for route in self.work.borrow().values() {
+        for route in self.route_stats.borrow().values() {
             let Some(service) = &route.service else {
                 continue;
             };
@@ -437,12 +443,12 @@
     }
 
     /// Keeps signs of an account that could not be told, for the next one.
-    pub(super) fn keep_signs(&self, signs: Vec<Sign>) {
+    pub(super) fn restore_signs(&self, signs: Vec<Sign>) {
         self.signs.borrow_mut().extend(signs);
     }
 
     /// Notes that an endpoint crashed while it had the work.
-    pub(super) fn crashed(&self, work: Fingerprint, endpoint: &EndpointStart) {
+    pub(super) fn record_crash(&self, work: Fingerprint, endpoint: &EndpointStart) {
         self.metrics.count_crash();
         let endpoint = EndpointTag::of(endpoint);
         self.signs.borrow_mut().push(Sign::Crash { work, endpoint });
@@ -450,7 +456,7 @@
     }
 
     /// Notes that an endpoint ran work to its end that is under suspicion.
-    pub(super) fn cleared(&self, work: Fingerprint) {
+    pub(super) fn record_cleared(&self, work: Fingerprint) {
         let sign = Sign::Answered { work };
         let mut signs = self.signs.borrow_mut();
         if !signs.contains(&sign) {
@@ -458,7 +464,7 @@
         }
     }
 
-    pub(super) fn connection_opened(self: &Rc<Self>) -> OpenConnection {
+    pub(super) fn track_connection(self: &Rc<Self>) -> OpenConnection {
         self.connections.set(self.connections.get() + 1);
         OpenConnection(Rc::clone(self))
     }
@@ -468,12 +474,13 @@
     }
 
     /// Logs how many connections are open and where their requests stand.
-    pub(super) fn log_open(&self, message: &str) {
-        self.open.log_counts(message, self.open_connections());
+    pub(super) fn log_open_requests(&self, message: &str) {
+        self.open_requests
+            .log_counts(message, self.open_connections());
     }
 
     /// Goes on to a later phase of stopping.
-    pub(super) fn enter(&self, phase: Phase) {
+    pub(super) fn enter_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
@@ -483,7 +490,7 @@
     }
 
     /// Resolves once the instance has come to a phase.
-    pub(super) async fn reached(&self, phase: Phase) {
+    pub(super) async fn wait_for_phase(&self, phase: Phase) {
         let mut phases = self.phase.subscribe();
         if phases.wait_for(|now| *now >= phase).await.is_err() {
             std::future::pending::<()>().await;
--- a/crates/citronway/src/gateway/traffic/suspicion.rs
+++ b/crates/citronway/src/gateway/traffic/suspicion.rs
@@ -13,14 +13,14 @@
 use http::uri::PathAndQuery;
 
 use super::forwarding::Forwarding;
-use super::outcome::{Outcome, shown_id};
+use super::outcome::{Outcome, display_id};
 use super::trial::Trial;
 use crate::clock;
 use crate::gateway::http_link::Listening;
 
 /// What a look at an endpoint shows after its connection broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Look {
+pub(super) enum CrashCheck {
     /// It has not crashed, or nothing is known.
     NotCrashed,
     /// It crashed while it had the work.
@@ -48,7 +48,7 @@
             .map_or("/", PathAndQuery::as_str);
         let work = Work {
             caller: exchange::credentials(&message.headers),
-            host: &self.words.host,
+            host: &self.metadata.host,
             method: message.method.as_str(),
             path,
             key: self.job.key,
@@ -58,7 +58,7 @@
     }
 
     /// The fingerprint of this work if it is refused.
-    pub(super) fn harmful(&self, now: Mono) -> Option<Fingerprint> {
+    pub(super) fn harmful_work(&self, now: Mono) -> Option<Fingerprint> {
         let known = self.known();
         if known.refused.is_empty() {
             return None;
@@ -72,8 +72,8 @@
     }
 
     /// Ends a try of harmful work: it has not run, unless an earlier send of it may have.
-    pub(super) fn refused_as_harmful(&self, work: Fingerprint) -> Outcome {
-        if self.run_by.is_empty() {
+    pub(super) fn refuse_harmful(&self, work: Fingerprint) -> Outcome {
+        if self.may_have_run_at.is_empty() {
             return Outcome::Harmful(work);
         }
         Outcome::Unknown(UnknownOutcomeReason::Crashed, "endpoints that run it crash")
@@ -84,27 +84,27 @@
     /// One that has said that it leaves may end at any time. Work that was under suspicion
     /// before this crash is not sent again by this try: it costs an endpoint, and all that
     /// runs there, if the suspicion is right.
-    pub(super) async fn look_at(&mut self, choice: &Choice) -> Look {
-        let listening = self.state.looks.at(choice).await;
+    pub(super) async fn check_for_crash(&mut self, choice: &Choice) -> CrashCheck {
+        let listening = self.state.listener_probes.probe(choice).await;
         let Some(work) = self.fingerprint().filter(|_| listening == Listening::No) else {
-            return Look::NotCrashed;
+            return CrashCheck::NotCrashed;
         };
-        let request = shown_id(self.words.id.as_ref());
+        let request = display_id(self.metadata.id.as_ref());
         let endpoint = &choice.endpoint;
-        let leaves = self.state.leaves(endpoint);
+        let leaves = self.state.is_leaving(endpoint);
         log::info!(request, endpoint:%, work:%, leaves; "endpoint ended with the request");
         if leaves {
-            return Look::NotCrashed;
+            return CrashCheck::NotCrashed;
         }
-        self.state.crashed(work, endpoint);
+        self.state.record_crash(work, endpoint);
         if let Some(trial) = self.trial.take() {
             let endpoint = EndpointTag::of(endpoint);
-            trial.ended(TrialEnd::Crashed { endpoint });
+            trial.finish(TrialEnd::Crashed { endpoint });
         }
         if self.known().is_suspect(work) {
-            Look::CrashedAgain
+            CrashCheck::CrashedAgain
         } else {
-            Look::Crashed
+            CrashCheck::Crashed
         }
     }
 
@@ -114,9 +114,9 @@
     /// Failure guarded against: copies of harmful work gather while their key has no owner,
     /// all reach the next one in the same moment, and each of them is a send that a crash
     /// ends.
-    pub(super) async fn take_trial(&mut self) -> Option<Refusal> {
-        let work = self.suspect()?;
-        let number = self.state.ticket();
+    pub(super) async fn request_trial(&mut self) -> Option<Refusal> {
+        let work = self.suspect_work()?;
+        let number = self.state.next_ticket();
         let limit_ms = self.job.deadline.since(clock::mono());
         let state = Rc::clone(self.state);
         // Dropped without a grant, it gives back what a late one took.
@@ -127,14 +127,17 @@
             end: TrialEnd::Inconclusive,
         };
         let expected_ms = self.job.expected_ms();
-        let grant = self.state.asks.trial(number, work, expected_ms, limit_ms);
+        let grant = self
+            .state
+            .control
+            .request_trial(number, work, expected_ms, limit_ms);
         let grant = grant.await;
         self.state.metrics.count_trial_request(&grant);
         let TrialGrant::Busy { for_ms } = grant else {
             self.trial = Some(trial);
             return None;
         };
-        let request = shown_id(self.words.id.as_ref());
+        let request = display_id(self.metadata.id.as_ref());
         log::info!(request, work:%, busy_ms = for_ms; "another copy of the work is being tried");
         let left_ms = self.job.caller_deadline.since(clock::mono());
         Some(Refusal {
@@ -144,7 +147,7 @@
     }
 
     /// The fingerprint of this work if it was at an endpoint that crashed.
-    fn suspect(&self) -> Option<Fingerprint> {
+    fn suspect_work(&self) -> Option<Fingerprint> {
         let known = self.known();
         if known.suspects.is_empty() && !self.has_crashed {
             return None;
@@ -156,7 +159,7 @@
     /// Clears work that was under suspicion: an endpoint ran it to its end.
     pub(super) fn clear_suspicion(&mut self) {
         if let Some(trial) = self.trial.take() {
-            trial.ended(TrialEnd::Answered);
+            trial.finish(TrialEnd::Answered);
         }
         let known = self.known();
         if known.suspects.is_empty() {
@@ -164,7 +167,7 @@
         }
         let work = self.fingerprint();
         if let Some(work) = work.filter(|work| known.is_suspect(*work)) {
-            self.state.cleared(work);
+            self.state.record_cleared(work);
         }
     }
 }
--- a/crates/citronway/src/gateway/traffic/trial.rs
+++ b/crates/citronway/src/gateway/traffic/trial.rs
@@ -49,7 +49,7 @@
 
 impl Trial {
     /// Ends it with an outcome.
-    pub(super) fn ended(mut self, end: TrialEnd) {
+    pub(super) fn finish(mut self, end: TrialEnd) {
         self.end = end;
     }
 }
@@ -57,7 +57,7 @@
 impl Drop for Trial {
     fn drop(&mut self) {
         self.state
-            .asks
-            .trial_ended(self.number, self.work, self.end);
+            .control
+            .report_trial_end(self.number, self.work, self.end);
     }
 }
