--- a/crates/citronway/src/gateway/http_link.rs
+++ b/crates/citronway/src/gateway/http_link.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection of this process to an endpoint or to the store.
+//! HTTP/1.1 client connections to endpoints and to the store.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,80 +16,81 @@
 
 use crate::clock;
 
-/// Time for a connection to be made.
+/// Connect timeout.
 ///
-/// Round trips are below 20 ms; a lost opening packet is sent again only after a
-/// second, when a new attempt is faster.
+/// Round trips are below 20 ms. A lost SYN is retransmitted only after a second, so a new
+/// attempt is faster.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A connection that is open and has no request under way.
+/// An open connection without a request in progress.
 #[derive(Debug)]
 pub struct Link {
     sender: SendRequest<Full<Bytes>>,
-    /// When it was made, at the latest.
+    /// Latest time at which the connection was established.
     opened: Mono,
 }
 
-/// When a new connection counts as taken by the other side.
+/// When a new connection is considered accepted by the peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectMode {
-    /// Once it is open.
+    /// As soon as it is open.
     Immediate,
-    /// The same; it is reset when it is given up.
+    /// As soon as it is open; it is closed with a reset when it is dropped.
     ///
-    /// Failure: a call is given up while its bytes wait in this machine or on the link,
-    /// and the endpoint carries it out long after. A reset drops what was not sent.
+    /// Failure: a call is given up while its bytes still wait in this machine or on the
+    /// network, and the endpoint executes it long after. A reset discards the unsent bytes.
     ImmediateWithReset,
-    /// Once it was not reset for as long as the other side takes to do so, see [`reset_check_duration`].
+    /// If it has not been reset within the time that the peer needs for that, see
+    /// [`reset_check_duration`].
     ///
-    /// Failure: a full endpoint takes a connection and resets it, and a request that was
-    /// written meanwhile may or may not have run. Work that may not be repeated is then
-    /// lost to its caller, though it never reached the endpoint.
+    /// Failure: a full endpoint accepts a connection and resets it, and a request written
+    /// meanwhile may or may not have run. Work that must not be repeated is then lost to its
+    /// caller, although it never reached the endpoint.
     AfterResetCheck,
 }
 
-/// Time that an endpoint takes from a new connection to its reset, at most.
-const HANDSHAKE: Duration = Duration::from_millis(2);
+/// Longest time that an endpoint takes to reset a new connection.
+const MAX_RESET_DELAY: Duration = Duration::from_millis(2);
 
-/// Longest time for which a new connection is looked at before it is used: the opening packet
-/// was lost, or this instance was short of processor time.
-const LONGEST_LOOK: Duration = Duration::from_millis(12);
+/// Longest time for which a new connection is checked before use. A longer connect time means
+/// that the SYN was lost or this instance was short of processor time.
+const MAX_RESET_CHECK: Duration = Duration::from_millis(12);
 
-/// How long a new connection is looked at that took so long to be made.
+/// How long a new connection is checked for a reset, given the time it took to connect.
 ///
-/// It is open here half a round trip before the other side knows, and a reset takes as long
-/// to come back; so the time of a round trip is looked at, whatever the distance.
+/// The connection is open here half a round trip before the peer knows, and a reset takes as
+/// long to come back. So the check lasts a round trip, whatever the distance.
 #[must_use]
 pub fn reset_check_duration(connected_in: Duration) -> Duration {
-    (connected_in + HANDSHAKE).min(LONGEST_LOOK)
+    (connected_in + MAX_RESET_DELAY).min(MAX_RESET_CHECK)
 }
 
-/// Whether the other side ends a connection on which nothing was sent.
-async fn is_reset(stream: &TcpStream, look: Duration) -> bool {
-    // Nobody speaks first on HTTP/1.1: what can be read is the end.
-    timeout(look, stream.readable()).await.is_ok()
+/// Whether the peer ends a connection on which nothing was sent.
+async fn is_reset(stream: &TcpStream, check: Duration) -> bool {
+    // In HTTP/1.1 the server does not send first, so readable means closed.
+    timeout(check, stream.readable()).await.is_ok()
 }
 
-/// Why a call brought no whole answer.
+/// Why a call got no complete answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection; nothing was sent.
+    /// No connection was established; nothing was sent.
     #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
-    /// The other side reset a connection on which nothing was sent.
-    #[error("the connection was reset before the request was sent")]
+    /// The peer reset a connection on which nothing was sent.
+    #[error("connection reset before the request was sent")]
     Reset,
-    /// The connection had ended before a byte was sent.
-    #[error("the connection had ended before the request was sent")]
+    /// The connection was closed before a byte was sent.
+    #[error("connection closed before the request was sent")]
     NotSent,
     /// The connection broke after bytes may have been sent.
-    #[error("the connection broke: {0}")]
+    #[error("connection broke: {0}")]
     Broken(#[source] hyper::Error),
-    /// The answer broke off or is too long.
-    #[error("the answer is not whole: {0}")]
+    /// The answer is truncated or too long.
+    #[error("answer truncated or too long: {0}")]
     Truncated(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// The answer did not arrive in time.
+    #[error("timed out waiting for the answer")]
     Timeout,
 }
 
@@ -101,29 +102,29 @@
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
     /// Status.
     pub status: StatusCode,
     /// Headers.
     pub headers: HeaderMap,
-    /// Body, complete.
+    /// Complete body.
     pub body: Bytes,
 }
 
 /// Whether a process listens at an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Listening {
-    /// It takes connections.
+    /// The address accepts connections.
     Yes,
-    /// Its machine answers that nobody listens: the process has ended.
+    /// The machine refuses the connection, so the process has ended.
     No,
-    /// Nothing is known: its machine does not answer.
+    /// The machine does not answer, so nothing is known.
     Unknown,
 }
 
-/// Looks whether a process listens at an address, for [`CONNECT_TIMEOUT`] at most.
+/// Probes whether a process listens at an address, for [`CONNECT_TIMEOUT`] at most.
 pub async fn probe_listener(address: SocketAddr) -> Listening {
     match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(_stream)) => Listening::Yes,
@@ -133,11 +134,12 @@
 }
 
 impl Link {
-    /// Connects; the connection is driven by a task of the present runtime.
+    /// Connects. A task of the current runtime drives the connection.
     ///
     /// # Errors
     ///
-    /// When there is no connection within [`CONNECT_TIMEOUT`].
+    /// When no connection is established within [`CONNECT_TIMEOUT`], or when it is reset during
+    /// the check of [`ConnectMode::AfterResetCheck`].
     pub async fn open(address: SocketAddr, mode: ConnectMode) -> Result<Self, CallError> {
         let began = Instant::now();
         let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
@@ -149,8 +151,8 @@
             stream.set_zero_linger().map_err(CallError::Connect)?;
         }
         let opened = clock::mono();
-        let look = reset_check_duration(began.elapsed());
-        if mode == ConnectMode::AfterResetCheck && is_reset(&stream, look).await {
+        let check = reset_check_duration(began.elapsed());
+        if mode == ConnectMode::AfterResetCheck && is_reset(&stream, check).await {
             return Err(CallError::Reset);
         }
         let handshake = Builder::new()
@@ -160,8 +162,7 @@
             .await
             .map_err(|e| CallError::Connect(io::Error::other(e)))?;
         tokio::spawn(async move {
-            // How it ended shows at the call that was under way; without one, it shows
-            // in `is_usable`.
+            // The call in progress returns the error; without a call, `is_usable` shows it.
             if let Err(e) = connection.await {
                 log::debug!(cause = e.to_string(); "a connection ended");
             }
@@ -169,7 +170,7 @@
         Ok(Self { sender, opened })
     }
 
-    /// When it was made, at the latest.
+    /// Latest time at which the connection was established.
     #[must_use]
     pub const fn opened(&self) -> Mono {
         self.opened
@@ -181,7 +182,7 @@
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// Whether the other side has closed it.
+    /// Whether the peer has closed the connection.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
@@ -203,12 +204,12 @@
         })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete answer.
     ///
     /// # Errors
     ///
-    /// When its head does not come within `limit`, or its body not within
-    /// [`BODY_TIMEOUT`] after it.
+    /// When the head does not arrive within `limit`, or the body within [`BODY_TIMEOUT`] after
+    /// it.
     pub async fn call(
         &mut self,
         req: Request<Bytes>,
@@ -216,28 +217,28 @@
     ) -> Result<Answer, CallError> {
         let head = timeout(limit, self.send(req)).await;
         let head = head.unwrap_or(Err(CallError::Timeout))?;
-        let whole = timeout(BODY_TIMEOUT, read_answer(head)).await;
-        whole.unwrap_or(Err(CallError::Timeout))
+        let answer = timeout(BODY_TIMEOUT, read_answer(head)).await;
+        answer.unwrap_or(Err(CallError::Timeout))
     }
 }
 
-/// Longest time for the body of an answer once its head is there.
+/// Timeout for the body of an answer after its head.
 ///
-/// Failure: a configuration of many routes takes a quarter of a second over a link of
-/// 10 Mbit/s and longer when all instances fetch it; with one limit for head and body
-/// the call was given up and begun anew, and the old configuration stayed in force.
+/// Failure: a configuration of many routes takes a quarter of a second over a link of 10
+/// Mbit/s, and longer when all instances fetch it. With one limit for head and body, the call
+/// was aborted and restarted again and again, and the old configuration stayed in force.
 const BODY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Longest body of an answer that is read, in bytes.
 ///
-/// Answers are read whole, so that a cut one never looks complete to a caller.
+/// Answers are read completely, so that a truncated one never looks complete to a caller.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Reads the rest of an answer.
+/// Reads the body of an answer.
 ///
 /// # Errors
 ///
-/// When it breaks off or is too long.
+/// When it is truncated or too long.
 pub async fn read_answer(answer: Response<Incoming>) -> Result<Answer, CallError> {
     let (head, body) = answer.into_parts();
     let body = Limited::new(body, MAX_ANSWER_BYTES)
--- a/crates/citronway/src/gateway/metrics.rs
+++ b/crates/citronway/src/gateway/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of an instance on the platform, as `OpenMetrics` text.
 //!
-//! Their number does not grow with endpoints, routes or instances: requests are told
-//! apart by what may be repeated and by rank, of which there are four, and by outcome.
+//! The number of series does not grow with endpoints, routes or instances: requests are
+//! labelled by whether they may be repeated, by rank, of which there are four, and by outcome.
 
 use std::fmt;
 use std::sync::Arc;
@@ -22,19 +22,19 @@
 use super::control::Source;
 use crate::logs;
 
-/// Bounds of the histogram of answers, in seconds; objectives are 0.2 to 1.5 s.
+/// Buckets of the latency histograms, in seconds; objectives are 0.2 to 1.5 s.
 const BOUNDS: [f64; 9] = [0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 3.0, 6.0];
 
-/// How a request ended, as a label.
+/// Outcome of a request, as a label.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutcomeKind {
-    /// By the endpoint's answer.
+    /// The endpoint answered.
     Answered,
     /// Refused without having run.
     NotRun(RefusalReason),
     /// It may have run.
     MayHaveRun(UnknownOutcomeReason),
-    /// It could not be accepted.
+    /// The request was invalid.
     Rejected,
 }
 
@@ -57,16 +57,16 @@
 }
 
 impl Class {
-    /// Lowest rank that is told apart; the rest count with it.
+    /// Highest rank that is counted separately; requests of higher ranks are counted with it.
     const LAST_RANK: u8 = 3;
 
-    /// Of a request that was ended before its route was known.
+    /// Class of a request that ended before its route was known.
     pub const UNKNOWN: Self = Self {
         repeat: "unknown",
         rank: Self::LAST_RANK,
     };
 
-    /// Of requests on a route.
+    /// Class of requests on a route.
     #[must_use]
     pub fn of(route: &Route) -> Self {
         Self {
@@ -105,7 +105,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct JudgedLabels {
+struct VerdictLabels {
     verdict: &'static str,
 }
 
@@ -119,7 +119,7 @@
     stage: &'static str,
 }
 
-/// All metrics; clones count together.
+/// All metrics; clones share their values.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     registry: Arc<Registry>,
@@ -137,7 +137,7 @@
     writes: Counter,
     unusable: Family<UnusableLabels, Counter>,
     crashes: Counter,
-    judged: Family<JudgedLabels, Counter>,
+    verdicts: Family<VerdictLabels, Counter>,
     crash_suspects: Gauge,
     trials: Family<AnswerLabels, Counter>,
     cold: Family<AnswerLabels, Counter>,
@@ -182,9 +182,9 @@
         let crashes = Counter::default();
         let help = "Requests whose endpoint crashed";
         registry.register("endpoint_crashes", help, crashes.clone());
-        let judged = Family::default();
+        let verdicts = Family::default();
         let help = "Work that was taken as harmful, and let go";
-        registry.register("work_judged", help, judged.clone());
+        registry.register("work_judged", help, verdicts.clone());
         let crash_suspects = Gauge::default();
         let help = "Work that was at an endpoint that crashed, harmful or not";
         registry.register("crash_suspects", help, crash_suspects.clone());
@@ -216,7 +216,7 @@
             writes,
             unusable,
             crashes,
-            judged,
+            verdicts,
             crash_suspects,
             trials,
             cold,
@@ -227,9 +227,9 @@
 }
 
 impl Metrics {
-    /// Counts a request that took `ms`.
-    pub(super) fn record_outcome(&self, class: Class, ended: OutcomeKind, ms: u64) {
-        let (outcome, reason) = ended.labels();
+    /// Counts a request that ended after `ms` milliseconds.
+    pub(super) fn record_outcome(&self, class: Class, kind: OutcomeKind, ms: u64) {
+        let (outcome, reason) = kind.labels();
         let labels = OutcomeLabels {
             repeat: class.repeat,
             rank: class.rank,
@@ -242,49 +242,49 @@
             .observe(ms as f64 / 1_000.0);
     }
 
-    /// Counts a request that found a place after `ms`.
+    /// Counts a request that found a place after `ms` milliseconds.
     pub(super) fn record_wait(&self, class: Class, ms: u64) {
         let wait = self.wait.get_or_create(&class);
         wait.observe(ms as f64 / 1_000.0);
     }
 
-    /// Counts a request that was `ms` at its endpoint.
+    /// Counts a request that its endpoint answered after `ms` milliseconds.
     pub(super) fn record_service_time(&self, class: Class, ms: u64) {
         let service = self.service.get_or_create(&class);
         service.observe(ms as f64 / 1_000.0);
     }
 
-    /// Notes how many requests wait and how many are at endpoints.
+    /// Sets the number of requests that wait and the number at endpoints.
     pub(super) fn set_load(&self, waiting: usize, in_flight: u32) {
         self.waiting.set(i64::try_from(waiting).unwrap_or(i64::MAX));
         self.in_flight.set(i64::from(in_flight));
     }
 
-    /// Shows a stage from the start, so that its counter is seen to begin at 0.
+    /// Registers a stage at the start, so that its counter is exported from 0 on.
     pub(super) fn register_stage(&self, stage: &'static str) {
         let labels = StageLabels { stage };
         drop(self.unanswered.get_or_create(&labels));
         drop(self.callers_left.get_or_create(&labels));
     }
 
-    /// Notes how many connections callers have open.
+    /// Sets the number of open connections of callers.
     pub(super) fn set_connections(&self, count: u32) {
         self.connections.set(i64::from(count));
     }
 
-    /// Notes how many requests stand at a stage.
+    /// Sets the number of requests at a stage.
     pub(super) fn set_unanswered(&self, stage: &'static str, count: usize) {
         let gauge = self.unanswered.get_or_create(&StageLabels { stage });
         gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
     }
 
-    /// Counts a request whose caller left.
+    /// Counts a request whose caller left before its answer.
     pub(super) fn count_caller_left(&self, stage: &'static str) {
         let labels = StageLabels { stage };
         self.callers_left.get_or_create(&labels).inc();
     }
 
-    /// Counts an order.
+    /// Counts an order to an endpoint.
     pub(super) fn count_order(&self, kind: &OrderKind, result: &OrderResult) {
         let order = match kind {
             OrderKind::Grant { .. } => "grant",
@@ -314,12 +314,12 @@
         self.polls.get_or_create(&labels).inc();
     }
 
-    /// Counts writes of assignments.
+    /// Counts written assignments.
     pub(super) fn count_writes(&self, count: usize) {
         self.writes.inc_by(count as u64);
     }
 
-    /// Counts what could not be used of what others wrote into the store.
+    /// Counts rows and parts of the configuration, written by others, that could not be used.
     pub(super) fn count_unusable(&self, source: Source, count: u64) {
         let source = source.label();
         let labels = UnusableLabels { source };
@@ -331,13 +331,15 @@
         self.crashes.inc();
     }
 
-    /// Counts work that was taken as harmful or let go.
+    /// Counts a verdict on work: classified as harmful, or released.
     pub(super) fn count_verdict(&self, verdict: &Verdict) {
         let verdict = match verdict {
             Verdict::Harmful { .. } => "harmful",
             Verdict::Cleared { .. } => "let_go",
         };
-        self.judged.get_or_create(&JudgedLabels { verdict }).inc();
+        self.verdicts
+            .get_or_create(&VerdictLabels { verdict })
+            .inc();
     }
 
     /// Counts a request for a trial of work under suspicion.
@@ -350,7 +352,7 @@
         self.trials.get_or_create(&AnswerLabels { answer }).inc();
     }
 
-    /// Counts a request for a send to a cold endpoint.
+    /// Counts a query about a send to a cold endpoint.
     pub(super) fn count_cold_request(&self, grant: &ColdGrant) {
         let answer = match grant {
             ColdGrant::Granted { .. } => "granted",
@@ -359,24 +361,24 @@
         self.cold.get_or_create(&AnswerLabels { answer }).inc();
     }
 
-    /// Notes which zones are evacuated, and what is left to move out of them.
+    /// Sets the number of evacuated zones and of key ranges still owned in them.
     pub(super) fn set_evacuated(&self, zones: usize, ranges: usize) {
         let gauge = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         self.evacuated_zones.set(gauge(zones));
         self.evacuated_ranges.set(gauge(ranges));
     }
 
-    /// Notes how much work was at endpoints that crashed.
+    /// Sets the number of crash suspects.
     pub(super) fn set_crash_suspects(&self, count: usize) {
         let count = i64::try_from(count).unwrap_or(i64::MAX);
         self.crash_suspects.set(count);
     }
 
-    /// Renders all metrics, and how many log lines were dropped.
+    /// Renders all metrics and the number of dropped log lines.
     ///
     /// # Errors
     ///
-    /// When a label cannot be written.
+    /// When a label cannot be encoded.
     pub(super) fn render(&self) -> Result<String, fmt::Error> {
         let mut buf = String::new();
         text::encode_registry(&mut buf, &self.registry)?;
--- a/crates/citronway/src/gateway/mod.rs
+++ b/crates/citronway/src/gateway/mod.rs
@@ -1,10 +1,9 @@
-//! An instance in front of endpoints, on a store that others run.
+//! An instance in front of endpoints, on a store that is run by others.
 //!
-//! Two threads: `traffic` takes callers' requests and sends them to endpoints,
-//! `control` follows the store, tells the other instances what is in flight and,
-//! where this instance is the leader, grants keys. A bounded ring carries what the
-//! traffic saw to `control`; the view that `control` publishes goes the other way.
-//! A third thread writes the logs.
+//! There are two threads: `traffic` accepts callers' requests and forwards them to endpoints;
+//! `control` follows the store, reports the requests in flight to the other instances and, on
+//! the leader, grants keys. A bounded channel carries reports from `traffic` to `control`; the
+//! view that `control` publishes goes the other way. A third thread writes the logs.
 
 mod control;
 mod http_link;
--- a/crates/citronway/src/gateway/ready.rs
+++ b/crates/citronway/src/gateway/ready.rs
@@ -1,4 +1,4 @@
-//! Answers the balancer's question and serves metrics.
+//! Serves the balancer's readiness check and the metrics.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -18,35 +18,35 @@
 use super::metrics::Metrics;
 use crate::metrics::MEDIA_TYPE;
 
-/// Whether the balancer may send callers here.
+/// Whether the balancer may send callers to this instance.
 #[derive(Debug, Clone, Default)]
 pub struct Ready(Arc<AtomicBool>);
 
 impl Ready {
-    /// Sets it; returns whether that changed it.
+    /// Sets the flag; returns whether it changed.
     #[must_use]
     pub fn set(&self, ready: bool) -> bool {
         self.0.swap(ready, Ordering::Relaxed) != ready
     }
 
-    /// Reads it.
+    /// Current value of the flag.
     #[must_use]
     pub fn get(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Answers the balancer on `listener` until the task is dropped.
+/// Answers readiness checks on `listener` until the task is dropped.
 pub async fn serve(listener: TcpListener, ready: Ready) {
-    serve_with(listener, move |req| answer(req, &ready)).await;
+    serve_with(listener, move |req| readiness_answer(req, &ready)).await;
 }
 
 /// Serves metrics on `listener` until the task is dropped.
 pub async fn serve_metrics(listener: TcpListener, metrics: Metrics) {
-    serve_with(listener, move |_req| rendered(&metrics)).await;
+    serve_with(listener, move |_req| metrics_answer(&metrics)).await;
 }
 
-fn rendered(metrics: &Metrics) -> Response<Full<Bytes>> {
+fn metrics_answer(metrics: &Metrics) -> Response<Full<Bytes>> {
     match metrics.render() {
         Ok(text) => {
             let mut answer = Response::new(Full::new(Bytes::from(text)));
@@ -71,7 +71,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::warn!(cause = e.to_string(); "an inner address took no connection");
+                log::warn!(cause = e.to_string(); "failed to accept an internal connection");
                 tokio::time::sleep(super::traffic::ACCEPT_PAUSE).await;
                 continue;
             }
@@ -84,13 +84,13 @@
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(e) = connection.await {
-                log::debug!(cause = e.to_string(); "an inner connection ended");
+                log::debug!(cause = e.to_string(); "internal connection ended");
             }
         });
     }
 }
 
-fn answer(req: &Request<Incoming>, ready: &Ready) -> Response<Full<Bytes>> {
+fn readiness_answer(req: &Request<Incoming>, ready: &Ready) -> Response<Full<Bytes>> {
     let status =
         if !citronway_platform::exchange::is_readiness_check(req.method(), req.uri().path()) {
             StatusCode::NOT_FOUND
@@ -108,7 +108,7 @@
 ///
 /// # Errors
 ///
-/// When the address is taken or not of this machine.
+/// When the address is in use or does not belong to this machine.
 pub async fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
--- a/crates/citronway/src/gateway/run.rs
+++ b/crates/citronway/src/gateway/run.rs
@@ -18,63 +18,64 @@
 use crate::gateway::{control, traffic};
 use crate::logs;
 
-/// Places in the ring that carries what the traffic saw to `control`.
+/// Capacity of the channel of traffic reports to `control`.
 ///
-/// One entry each 100 ms; a full ring drops the oldest knowledge, never a request.
-const SEEN_RING: usize = 16;
+/// There is one report every 100 ms. If the channel is full, a report is dropped, never a
+/// request.
+const REPORTS_CAPACITY: usize = 16;
 
-/// Places in the ring that carries requests for trials to `control`; what does not fit is
-/// refused and comes again.
-const TRIALS_RING: usize = 256;
+/// Capacity of the channel of trial queries to `control`. A query that does not fit is refused,
+/// and its caller retries.
+const TRIALS_CAPACITY: usize = 256;
 
-/// Places in the ring of requests about cold endpoints.
-const COLD_RING: usize = 256;
+/// Capacity of the channel of queries about cold endpoints.
+const COLD_CAPACITY: usize = 256;
 
-/// Why an instance did not start.
+/// Why an instance could not start, or failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No platform has started this process.
-    #[error("the platform names no settings file")]
+    /// The process was not started by the platform.
+    #[error("the platform states no settings file")]
     NoPlatform,
     /// The settings file cannot be read.
     #[error("settings file {path}: {cause}")]
     Unreadable {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Cause of the failure.
         cause: io::Error,
     },
-    /// The settings are wrong.
+    /// The settings are invalid.
     #[error("settings file {path}: {cause}")]
     Settings {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// What is wrong with them.
         cause: citronway_platform::DecodeError,
     },
-    /// A thread could not be started or an address not be taken.
+    /// A thread could not be started, or an address could not be bound.
     #[error("the {duty} duty could not be started: {cause}")]
     Start {
-        /// Which duty.
+        /// Name of the duty.
         duty: &'static str,
-        /// Why.
+        /// Cause of the failure.
         cause: io::Error,
     },
-    /// A thread ended by a panic.
+    /// A thread panicked.
     #[error("the {duty} duty panicked: {cause}")]
     Panicked {
-        /// Which duty.
+        /// Name of the duty.
         duty: &'static str,
-        /// What the panic said.
+        /// Message of the panic.
         cause: String,
     },
 }
 
-/// Path of the settings file that the platform names.
+/// Path of the settings file that the platform states.
 ///
 /// # Errors
 ///
-/// When it names none.
+/// When it states none.
 pub fn settings_path() -> Result<PathBuf, Error> {
     citronway_platform::settings::path().ok_or(Error::NoPlatform)
 }
@@ -83,7 +84,7 @@
 ///
 /// # Errors
 ///
-/// When it cannot be read or is wrong.
+/// When it cannot be read or is invalid.
 pub fn load(path: &Path) -> Result<InstanceSettings, Error> {
     let shown = || path.display().to_string();
     let text = std::fs::read(path).map_err(|cause| Error::Unreadable {
@@ -96,11 +97,11 @@
     })
 }
 
-/// Checks a settings file and says so.
+/// Checks a settings file and prints the result.
 ///
 /// # Errors
 ///
-/// Everything that is wrong with it.
+/// Everything that is wrong with the file.
 pub fn check(path: &Path) -> Result<ExitCode, Error> {
     load(path)?;
     println!("{}: ok", path.display());
@@ -111,25 +112,25 @@
 ///
 /// # Errors
 ///
-/// When the settings are wrong or a duty could not be started.
+/// When the settings are invalid, or a duty could not be started or failed.
 pub fn run(path: &Path) -> Result<ExitCode, Error> {
     let cfg = load(path)?;
     if logs::to_ring(&cfg.instance, &cfg.zone).is_err() {
-        eprintln!("a logger was set before; logs go there");
+        eprintln!("a logger is already set; logs go to it");
     }
     logs::log_panics();
     let (high, low) = uuid::Uuid::new_v4().as_u64_pair();
-    let me = Session {
+    let own_session = Session {
         instance: cfg.instance.clone(),
         id: SessionId(high ^ low),
     };
-    log::info!(session = me.to_string(), callers = cfg.callers.to_string(); "instance starts");
+    log::info!(session = own_session.to_string(), callers = cfg.callers.to_string(); "instance starts");
     let ready = Ready::default();
     let rank = citronway_core::gateway::pace::rank_of(&cfg.instance);
     let (view_tx, view_rx) = watch::channel(View::empty(cfg.zone.clone(), rank));
-    let (report_tx, seen_rx) = mpsc::channel(SEEN_RING);
-    let (trials_tx, trials_rx) = mpsc::channel(TRIALS_RING);
-    let (cold_tx, cold_rx) = mpsc::channel(COLD_RING);
+    let (report_tx, report_rx) = mpsc::channel(REPORTS_CAPACITY);
+    let (trials_tx, trials_rx) = mpsc::channel(TRIALS_CAPACITY);
+    let (cold_tx, cold_rx) = mpsc::channel(COLD_CAPACITY);
     let (stop_tx, stop_rx) = watch::channel(Stop::No);
 
     let runtime = runtime("control")?;
@@ -139,7 +140,7 @@
     };
     let ends = control::Channels {
         view: view_tx,
-        seen: seen_rx,
+        seen: report_rx,
         trials: trials_rx,
         cold: cold_rx,
         stop: stop_tx,
@@ -147,59 +148,61 @@
     };
     let traffic_cfg = cfg.clone();
     let metrics = Metrics::default();
-    let told = ControlSenders {
+    let to_control = ControlSenders {
         reports: report_tx,
         trials: trials_tx,
         cold: cold_tx,
     };
-    let counted = metrics.clone();
-    let handle = thread::Builder::new()
+    let traffic_metrics = metrics.clone();
+    let traffic_handle = thread::Builder::new()
         .name("traffic".to_owned())
-        .spawn(move || traffic_thread(&traffic_cfg, view_rx, told, stop_rx, counted))
+        .spawn(move || traffic_thread(&traffic_cfg, view_rx, to_control, stop_rx, traffic_metrics))
         .map_err(start("traffic"))?;
-    let control = control::Control::new(cfg, me, path.to_owned(), ready, metrics, ends);
-    // Each duty ends with the other, since the rings between them close.
-    let controlled = catch_unwind(AssertUnwindSafe(|| runtime.block_on(control.run())));
-    let controlled = controlled.map(|ended| ended.map_err(start("control")));
-    let controlled = finish_duty("control", controlled);
+    let control = control::Control::new(cfg, own_session, path.to_owned(), ready, metrics, ends);
+    // Each duty ends when the other one does, because the channels between them close.
+    let control_result = catch_unwind(AssertUnwindSafe(|| runtime.block_on(control.run())));
+    let control_result = control_result.map(|result| result.map_err(start("control")));
+    let control_result = finish_duty("control", control_result);
     log::info!("instance stops");
-    let served = finish_duty("traffic", handle.join());
+    let traffic_result = finish_duty("traffic", traffic_handle.join());
     logs::flush();
-    controlled.and(served).map(|()| ExitCode::SUCCESS)
+    control_result
+        .and(traffic_result)
+        .map(|()| ExitCode::SUCCESS)
 }
 
-/// What came of a duty; a failure is logged.
+/// Result of a duty; a failure is logged.
 ///
 /// # Errors
 ///
-/// When the duty ended by an error or a panic.
+/// When the duty ended with an error or a panic.
 pub fn finish_duty(
     duty: &'static str,
-    ended: thread::Result<Result<(), Error>>,
+    result: thread::Result<Result<(), Error>>,
 ) -> Result<(), Error> {
-    let ended = ended.unwrap_or_else(|panic| {
+    let result = result.unwrap_or_else(|panic| {
         let cause = logs::words_of_panic(&*panic).to_owned();
         Err(Error::Panicked { duty, cause })
     });
-    if let Err(e) = &ended {
+    if let Err(e) = &result {
         log::error!(duty, cause = e.to_string(); "a duty failed");
     }
-    ended
+    result
 }
 
 fn traffic_thread(
     cfg: &InstanceSettings,
     view: watch::Receiver<View>,
-    told: ControlSenders,
+    to_control: ControlSenders,
     stop: watch::Receiver<Stop>,
     metrics: Metrics,
 ) -> Result<(), Error> {
     let local = tokio::task::LocalSet::new();
-    let served = local.block_on(
+    let traffic_result = local.block_on(
         &runtime("traffic")?,
-        traffic::serve(cfg, view, told, stop, metrics),
+        traffic::serve(cfg, view, to_control, stop, metrics),
     );
-    served.map_err(start("traffic"))
+    traffic_result.map_err(start("traffic"))
 }
 
 fn runtime(duty: &'static str) -> Result<tokio::runtime::Runtime, Error> {
--- a/crates/citronway/src/gateway/traffic/asks.rs
+++ b/crates/citronway/src/gateway/traffic/asks.rs
@@ -1,4 +1,4 @@
-//! What the traffic asks `control`, which asks the leader.
+//! Queries from the traffic thread to `control`, which forwards them to the leader.
 
 use std::time::Duration;
 
@@ -10,16 +10,17 @@
 use super::cold::ColdQuery;
 use super::trial::{TrialEvent, TrialQuery};
 
-/// Time for an answer about a cold endpoint; without one it gets nothing.
+/// Timeout for the leader's answer about a cold endpoint; without an answer nothing is sent.
 ///
-/// The leader answers within a few milliseconds; a grant that comes later no longer counts
-/// where the leader counted it.
+/// The leader answers within a few milliseconds. A grant that arrives later
+/// would be used at another time than the one for which the leader counted it.
 const COLD_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which a cold endpoint is left alone about which nobody answers, in milliseconds.
+/// Time for which a cold endpoint receives no requests after a query about it was not answered,
+/// in milliseconds.
 const NO_ANSWER_PAUSE_MS: u64 = 200;
 
-/// Rings to `control`.
+/// Sending halves of the channels to `control` on which the traffic thread asks for permission.
 #[derive(Debug)]
 pub(super) struct ControlClient {
     pub trials: mpsc::Sender<TrialEvent>,
@@ -27,7 +28,9 @@
 }
 
 impl ControlClient {
-    /// ControlClient whether a copy of work under suspicion may be sent, as request `number`.
+    /// Asks whether a copy of work under suspicion may be sent as request `number`.
+    ///
+    /// Returns `Busy` if the query cannot be queued or is dropped without an answer.
     pub(super) async fn request_trial(
         &self,
         number: u64,
@@ -47,21 +50,24 @@
             for_ms: expected_ms,
         };
         if let Err(e) = self.trials.try_send(TrialEvent::Request(query)) {
-            log::warn!(cause = e.to_string(); "a request for a trial was dropped");
+            log::warn!(cause = e.to_string(); "trial query dropped");
             return busy;
         }
         granted.await.unwrap_or(busy)
     }
 
-    /// Tells that a trial has ended.
+    /// Reports to `control` that the trial of request `number` has ended.
     pub(super) fn report_trial_end(&self, number: u64, work: Fingerprint, end: TrialEnd) {
         let ended = TrialEvent::Ended { number, work, end };
         if let Err(e) = self.trials.try_send(ended) {
-            log::warn!(cause = e.to_string(); "the end of a trial was not told");
+            log::warn!(cause = e.to_string(); "end of a trial not reported");
         }
     }
 
-    /// ControlClient whether a request may be sent to a cold endpoint, as request `number`.
+    /// Asks whether request `number` may be sent to a cold endpoint.
+    ///
+    /// Returns `Busy` if the query cannot be queued or is not answered within
+    /// [`COLD_ANSWER_TIMEOUT`].
     pub(super) async fn request_cold_send(&self, number: u64, req: ColdRequest) -> ColdGrant {
         let (reply, granted) = oneshot::channel();
         let busy = ColdGrant::Busy {
@@ -69,12 +75,12 @@
         };
         let query = ColdQuery { number, req, reply };
         if let Err(e) = self.cold.try_send(query) {
-            log::warn!(cause = e.to_string(); "a request about a cold endpoint was dropped");
+            log::warn!(cause = e.to_string(); "cold endpoint query dropped");
             return busy;
         }
         match timeout(COLD_ANSWER_TIMEOUT, granted).await {
             Ok(Ok(grant)) => grant,
-            // `control` has no leader to query, or the leader does not answer.
+            // `control` knows no leader, or the leader does not answer.
             Ok(Err(_)) | Err(_) => busy,
         }
     }
--- a/crates/citronway/src/gateway/traffic/cold.rs
+++ b/crates/citronway/src/gateway/traffic/cold.rs
@@ -1,4 +1,4 @@
-//! Turns of requests at endpoints that are cold.
+//! Admission of requests to endpoints that are cold, that is, still slow after their start.
 
 use std::time::Duration;
 
@@ -11,27 +11,31 @@
 use super::outcome::display_id;
 use crate::clock;
 
-/// How long a request waits for its turn at the cold owner of its key, and where other
-/// endpoints could run it, in milliseconds. Its key may change hands meanwhile.
+/// Longest wait of a request for admission at the cold owner of its key, in milliseconds. It is
+/// limited because the key may change its owner meanwhile.
 const OWNER_MAX_WAIT_MS: u64 = 150;
+
+/// Longest wait of a request for admission at a cold endpoint where other endpoints could run it,
+/// in milliseconds.
 const MAX_WAIT_MS: u64 = 20;
 
-/// A request about a cold endpoint.
+/// A query whether a request may be sent to a cold endpoint.
 #[derive(Debug)]
 pub struct ColdQuery {
-    /// Its number within the process.
+    /// Number of the query, unique within the process.
     pub number: u64,
-    /// What is asked.
+    /// The endpoint, its rate limit and the longest acceptable wait.
     pub req: ColdRequest,
-    /// Takes the answer.
+    /// Receives the answer.
     pub reply: oneshot::Sender<ColdGrant>,
 }
 
 impl Forwarding<'_> {
-    /// Waits for a turn at the endpoint if it is cold; false if it is to get nothing now.
+    /// Waits until the request may be sent to the endpoint, if that is cold. Returns false if
+    /// the endpoint takes no further request now.
     ///
-    /// Failure guarded against: an endpoint has just started, each instance sends it what it
-    /// could do when it is warm, and it crashes.
+    /// Failure guarded against: an endpoint has just started, each instance sends it as many
+    /// requests as it could serve when warm, and it crashes.
     pub(super) async fn request_cold_send(&self, choice: &Choice) -> bool {
         let now = clock::mono();
         let endpoint = &choice.endpoint;
@@ -61,7 +65,7 @@
             }
             ColdGrant::Busy { for_ms } => {
                 let request = display_id(self.metadata.id.as_ref());
-                log::debug!(request, endpoint:%, for_ms; "a cold endpoint takes no more now");
+                log::debug!(request, endpoint:%, for_ms; "cold endpoint takes no further request now");
                 self.state.record_cold_busy(endpoint, for_ms);
                 false
             }
--- a/crates/citronway/src/gateway/traffic/connection.rs
+++ b/crates/citronway/src/gateway/traffic/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller, and the end of all of them.
+//! Serves callers' connections, and drains them when the instance stops.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -21,53 +21,53 @@
 use super::state::{Phase, State, Stop};
 use crate::clock;
 
-/// Smallest buffer for a head that the library takes, in bytes.
+/// Smallest read buffer that the HTTP library accepts, in bytes.
 const MIN_HEAD_BYTES: usize = 8_192;
 
-/// Time between two looks at how long a connection is idle.
+/// Interval between checks of how long a connection has been idle.
 const IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// Time after the signal to stop in which callers still arrive, in milliseconds: the
-/// balancer asks once a second and takes an instance out after two misses.
+/// Time after the stop signal in which new callers still arrive, in milliseconds: the balancer
+/// probes once a second and removes an instance after two failed probes.
 const LAME_DUCK_MS: u64 = 2_800;
 
-/// Part of the grace after which no more requests are taken at the latest, in percent:
-/// where the grace is short, those that were taken need the other half of it.
+/// Percentage of the grace after which no requests are accepted at the latest. With a short
+/// grace, the accepted requests need its other half.
 const CLOSE_AT_PERCENT: u64 = 50;
 
-/// Part of the grace after which each request has an answer, in percent.
+/// Percentage of the grace after which each request has an answer.
 ///
-/// Endpoints are given five sixths of the grace, 83 percent, to answer; what they are
-/// still at then may be broken off. The rest of the grace is for the answers' way out.
+/// Endpoints get five sixths (83 %) of the grace to answer; what they still run then may be
+/// aborted. The rest of the grace is for sending the answers.
 const ANSWER_BY_PERCENT: u64 = 90;
 
-/// Part of the grace that the last answers have for their way out, in percent; then the
-/// process ends though a caller has not taken its answer.
+/// Percentage of the grace that is left for sending the last answers; after it the process ends
+/// even if a caller has not read its answer.
 ///
-/// They are up to 40 on a machine of 0.1 cores at a millisecond of its processor each:
-/// 0.4 s. What is left of the grace is for the log and the exit.
+/// There are up to 40 answers, at 1 ms of processor time each: 0.4 s on a machine of 0.1 cores.
+/// What remains of the grace is for flushing the log and exiting.
 const FLUSH_PERCENT: u64 = 7;
 
-/// Time between two looks at how far a stop has come.
+/// Interval between checks of the drain's progress.
 const DRAIN_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
-/// Where a connection stands between two requests.
+/// State of a connection between two requests.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
-    /// A request was taken.
+    /// Whether a request has arrived on the connection.
     has_request: Cell<bool>,
-    /// Requests taken and not answered in full.
+    /// Requests received and not yet answered in full.
     active: Cell<u32>,
-    /// When the last byte came or the last answer ended.
+    /// When the first byte after the last answer arrived, or when the last answer ended.
     last_activity: Cell<Mono>,
-    /// Bytes have come since the last answer ended.
+    /// Whether bytes have arrived since the last answer ended.
     reading: Cell<bool>,
 }
 
 /// Serves one connection until it ends.
 pub(super) async fn serve(state: Rc<State>, stream: TcpStream) {
     if let Err(e) = stream.set_nodelay(true) {
-        log::debug!(cause = e.to_string(); "a caller left at once");
+        log::debug!(cause = e.to_string(); "caller disconnected at once");
         return;
     }
     let progress = Rc::new(Progress::default());
@@ -100,13 +100,13 @@
         tokio::select! {
             ended = connection.as_mut() => {
                 if let Err(e) = ended {
-                    log::debug!(cause = e.to_string(); "a caller's connection ended early");
+                    log::debug!(cause = e.to_string(); "caller connection ended early");
                 }
                 return;
             }
             () = tokio::time::sleep(IDLE_CHECK_PERIOD), if !closing => {
                 if is_overdue(&state, &progress) {
-                    // The library goes on waiting for the rest of a first head.
+                    // The library keeps waiting for the rest of a connection's first head.
                     if !progress.has_request.get() {
                         return;
                     }
@@ -122,7 +122,7 @@
     }
 }
 
-/// Whether a connection is idle for too long or its head takes too long.
+/// Whether a connection has exceeded the idle timeout, or its next head the header timeout.
 fn is_overdue(state: &State, progress: &Progress) -> bool {
     if progress.active.get() > 0 {
         return false;
@@ -136,24 +136,24 @@
     clock::mono().since(progress.last_activity.get()) > limit
 }
 
-/// Resolves when the instance was stop_requested_at to stop and has answered everything, or when
-/// its grace ends.
+/// Resolves when the instance has been asked to stop and has answered all requests, or when its
+/// grace ends.
 ///
-/// Failure: the process ended 5.5 s after the signal with requests at endpoints that had
-/// long queues; their callers saw the connection close and knew nothing. So the end of the
-/// process is not the end of the waiting: first each request has an answer, then the
-/// answers leave, then the process ends. On five days made like it, 290 stops left 33
-/// requests without an answer; now none is left.
+/// Failure: the process ended 5.5 s after the signal while endpoints with long queues still had
+/// requests; the callers saw their connections close and did not know whether the requests had
+/// run. In simulations of five such days, 290 stops left 33 requests without an answer. So the
+/// drain has three steps: each request gets an answer, the answers are sent, then the process
+/// ends.
 ///
-/// Where `control` has failed nobody tells; `usual_grace_ms` holds then, so that what was
-/// taken has its answers all the same.
-pub(super) async fn drain(state: &State, mut stop: watch::Receiver<Stop>, usual_grace_ms: u64) {
+/// If `control` has failed, no stop is announced. `default_grace_ms` then applies, so that
+/// accepted requests still get their answers.
+pub(super) async fn drain(state: &State, mut stop: watch::Receiver<Stop>, default_grace_ms: u64) {
     let is_requested = |stop: &Stop| matches!(stop, Stop::Within { .. });
     let grace_ms = match stop.wait_for(is_requested).await.as_deref() {
         Ok(Stop::Within { grace_ms }) => *grace_ms,
         Ok(Stop::No) | Err(_) => {
-            state.log_open_requests("control has ended, the traffic ends too");
-            usual_grace_ms
+            state.log_open_requests("control has ended; traffic stops within the configured grace");
+            default_grace_ms
         }
     };
     let stop_requested_at = clock::mono();
@@ -169,29 +169,30 @@
     if state.open_connections() > 0 {
         state.log_open_requests("what has no answer gets one now");
         state.enter_phase(Phase::Ending);
-        // Failure guarded against: the process was paused or had no processor, and goes on
-        // when this phase was to be over. The answers have their time to leave all the same.
+        // Failure guarded against: the process was paused or had no processor time, and resumes
+        // when this phase should already be over. The answers still get their time to be sent.
         wait_until_closed(state, clock::mono().plus(part(FLUSH_PERCENT))).await;
     }
     state.log_open_requests("the last connections end");
     state.open_requests.end_all(clock::mono());
 }
 
-/// Resolves once no connection is open, at `end` at the latest.
+/// Resolves once no connection is open, or at `end`.
 ///
-/// By the clock that counts time in which the machine was suspended: the grace does too.
+/// Uses the clock that includes time in which the machine was suspended, because the grace
+/// includes it too.
 async fn wait_until_closed(state: &State, end: Mono) {
     while state.open_connections() > 0 && clock::mono() < end {
         tokio::time::sleep(DRAIN_CHECK_PERIOD).await;
     }
 }
 
-/// Marks a request as answered when the library has taken the last byte of its answer; up
-/// to a socket's buffer of it may still be on the way.
+/// Guard that marks a request as answered when dropped, which is when the HTTP library has
+/// taken the last byte of the answer. Up to a socket buffer of it may still be in transit.
 #[derive(Debug)]
 pub(super) struct RequestGuard {
     progress: Rc<Progress>,
-    /// The request, among those without a whole answer.
+    /// Entry of the request among those without a complete answer.
     pub open: OpenGuard,
 }
 
@@ -199,13 +200,13 @@
     fn drop(&mut self) {
         let progress = &self.progress;
         progress.active.set(progress.active.get().saturating_sub(1));
-        // What has come since the head was the body of this request.
+        // Bytes that arrived after the head were the body of this request.
         progress.reading.set(false);
         progress.last_activity.set(clock::mono());
     }
 }
 
-/// Body of an answer that holds on to [`RequestGuard`] until it was sent.
+/// Response body that keeps its [`RequestGuard`] until it has been sent.
 #[derive(Debug)]
 pub(super) struct GuardedBody {
     pub body: http_body_util::Full<bytes::Bytes>,
@@ -232,7 +233,7 @@
     }
 }
 
-/// A stream that notes when bytes come.
+/// A stream that records when bytes arrive.
 #[derive(Debug)]
 struct MonitoredStream {
     stream: TcpStream,
--- a/crates/citronway/src/gateway/traffic/ended.rs
+++ b/crates/citronway/src/gateway/traffic/ended.rs
@@ -1,4 +1,4 @@
-//! Whether an endpoint whose connection broke has ended.
+//! Probes whether an endpoint whose connection broke still listens.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,12 +13,12 @@
 use crate::clock;
 use crate::gateway::http_link::{self, Listening};
 
-/// Time within which the answer to one probe holds for others, in milliseconds.
+/// Time for which the result of one probe is shared, in milliseconds.
 ///
-/// Load: a full endpoint resets dozens of connections a second, and each probe costs it one.
+/// A full endpoint resets dozens of connections a second, and each probe costs it one more.
 const PROBE_TTL_MS: u64 = 100;
 
-/// ListenerProbes at endpoints whose connections broke, the last one at each.
+/// The latest probe of each endpoint whose connection broke.
 #[derive(Debug, Default)]
 pub(super) struct ListenerProbes {
     last: RefCell<IndexMap<EndpointStart, (Mono, SharedProbe)>>,
@@ -27,7 +27,7 @@
 type SharedProbe = Shared<LocalBoxFuture<'static, Listening>>;
 
 impl ListenerProbes {
-    /// Whether something listens at the address of an endpoint whose connection has just
+    /// Whether a process listens at the address of an endpoint whose connection has just
     /// broken.
     pub(super) async fn probe(&self, choice: &Choice) -> Listening {
         let now = clock::mono();
--- a/crates/citronway/src/gateway/traffic/forwarding.rs
+++ b/crates/citronway/src/gateway/traffic/forwarding.rs
@@ -1,4 +1,4 @@
-//! A request on its way to endpoints, with what came of its sends so far.
+//! Forwards a request to endpoints and retries it as its route allows.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -26,18 +26,19 @@
 use crate::gateway::http_link::{self, Answer, CallError, ConnectMode, Link};
 use crate::gateway::metrics::Class;
 
-/// Time under which a request is not sent any more, in milliseconds: it would reach
-/// the endpoint with no time to work.
+/// Least time left with which a request is still sent, in milliseconds; with less, the endpoint
+/// would have no time to work on it.
 const MIN_SEND_TIME_MS: u64 = 20;
 
-/// Times the usual work that an endpoint is waited for where another could run the
-/// request: one in a hundred takes longer when all are well.
+/// Multiple of the usual work time after which an endpoint that has not answered is given up,
+/// where another endpoint could run the request. One request in a hundred takes longer when all
+/// endpoints are healthy.
 const ENDPOINT_TIMEOUT_FACTOR: u64 = 5;
 
 /// Shortest time after a refusal before the same request is sent again.
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(10);
 
-/// What goes to an endpoint.
+/// The request as it is sent to an endpoint.
 #[derive(Debug)]
 pub(super) struct Message {
     pub method: Method,
@@ -50,7 +51,7 @@
     fn for_endpoint(&self, endpoint: &EndpointStart, left_ms: u64) -> Request<Bytes> {
         let mut req = Request::new(self.body.clone());
         *req.method_mut() = self.method.clone();
-        // The path as it came: an absolute form is for proxies only.
+        // Origin form only: the absolute form is for proxies.
         let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
         if let Ok(uri) = path.parse() {
             *req.uri_mut() = uri;
@@ -62,31 +63,32 @@
     }
 }
 
-/// A request on its way.
+/// A request that is being forwarded.
 pub(super) struct Forwarding<'a> {
     pub state: &'a Rc<State>,
     pub route: &'a Route,
     pub metadata: &'a RequestMetadata,
-    /// Where it stands; what it is told at a stop rests on it.
+    /// Current stage of the request; decides the answer that it gets when the instance stops.
     pub open: &'a OpenRequest,
     pub message: Message,
     pub job: Job,
-    /// Endpoints that may have run it.
+    /// Endpoints that may have run the request.
     pub may_have_run_at: Vec<EndpointStart>,
-    /// Sends that an endpoint saw.
+    /// Number of sends that reached an endpoint.
     pub sends: u32,
-    /// Answer of an endpoint that failed, while another is asked.
+    /// Answer of an endpoint that failed with a server error, kept while another endpoint is
+    /// tried.
     pub failed_answer: Option<Answer>,
-    /// Fingerprint of its work, once it was needed.
+    /// Fingerprint of the request's work, computed on first use.
     pub work: OnceCell<Fingerprint>,
-    /// What was granted for the present send, where its work is under suspicion.
+    /// Trial granted for the current send, if the work is under suspicion.
     pub trial: Option<Trial>,
-    /// An endpoint crashed with it.
+    /// Whether an endpoint has crashed while it ran the request.
     pub has_crashed: bool,
 }
 
 impl Forwarding<'_> {
-    /// Sends it until it is answered or nothing is left to try.
+    /// Sends the request until it is answered or no further attempt is possible.
     pub(super) async fn run(mut self) -> Outcome {
         let ending = self.state.wait_for_phase(Phase::Ending);
         let outcome = tokio::select! {
@@ -96,7 +98,8 @@
         };
         match (outcome, self.failed_answer) {
             (answered @ Outcome::Answered(_), _) | (answered, None) => answered,
-            // What an endpoint said is worth more than that another could not be asked.
+            // An endpoint's answer says more than the fact that no other endpoint could be
+            // reached.
             (_, Some(answer)) => Outcome::Answered(answer),
         }
     }
@@ -104,7 +107,7 @@
     async fn send_until_answered(&mut self) -> Outcome {
         loop {
             let began = clock::mono();
-            // No copy keeps others from being tried while it waits for a place.
+            // A request that waits for a place must not keep other copies from their trial.
             self.trial = None;
             if let Some(work) = self.harmful_work(began) {
                 return self.refuse_harmful(work);
@@ -126,7 +129,7 @@
             }
             self.open.set_endpoint(placed, &choice);
             let in_flight = self.state.in_flight(&choice);
-            // It may have become known while this try waited.
+            // The work may have been classified as harmful while the request waited.
             if let Some(work) = self.harmful_work(placed) {
                 return self.refuse_harmful(work);
             }
@@ -160,12 +163,13 @@
                         return self.refuse_with(RefusalReason::Unreachable);
                     }
                 }
-                SendResult::Refused(meaning) => {
-                    self.record_refusal(&choice, meaning);
+                SendResult::Refused(kind) => {
+                    self.record_refusal(&choice, kind);
                     if !self.may_send_again(now) {
                         return self.refuse_with(RefusalReason::EndpointRefused);
                     }
-                    // It has not run there, and is with nobody until it is sent again.
+                    // The endpoint did not run it, and no endpoint has it until it is sent
+                    // again.
                     self.open.enter_stage(now, Stage::Waiting);
                     tokio::time::sleep(REFUSAL_BACKOFF).await;
                 }
@@ -182,7 +186,7 @@
         }
     }
 
-    /// Notes that nothing reached the endpoint.
+    /// Records that nothing reached the endpoint.
     fn record_unsent(&self, choice: &Choice, cause: &NotSentCause) {
         match cause {
             NotSentCause::NoConnection => self.state.record_unreachable(&choice.endpoint),
@@ -193,14 +197,15 @@
         }
     }
 
-    /// Takes that the endpoint may have run it; none if it is to be sent again.
+    /// Records that the endpoint may have run the request. Returns `None` if the request is to
+    /// be sent again.
     async fn handle_uncertain(
         &mut self,
         now: Mono,
         choice: Choice,
         doubt: Doubt,
     ) -> Option<Outcome> {
-        let crashed = match doubt {
+        let crash_check = match doubt {
             Doubt::Broken | Doubt::Truncated => self.check_for_crash(&choice).await,
             Doubt::Foreign | Doubt::NoAnswer => CrashCheck::NotCrashed,
         };
@@ -213,9 +218,9 @@
                 self.state.record_failure(&choice.endpoint);
             }
         }
-        self.has_crashed |= crashed != CrashCheck::NotCrashed;
+        self.has_crashed |= crash_check != CrashCheck::NotCrashed;
         self.may_have_run_at.push(choice.endpoint);
-        if crashed == CrashCheck::CrashedAgain {
+        if crash_check == CrashCheck::CrashedAgain {
             let cause = "the endpoint crashed";
             return Some(Outcome::Unknown(UnknownOutcomeReason::Crashed, cause));
         }
@@ -241,7 +246,7 @@
         log_send(self.metadata, choice, sent, self.sends, ms, work);
     }
 
-    /// Logs what a refusal was decided by, with versions.
+    /// Logs the state on which a refusal was based, with versions.
     fn log_refusal_inputs(&self, reason: RefusalReason) {
         let request = display_id(self.metadata.id.as_ref());
         let service = self.job.service.as_str();
@@ -266,11 +271,11 @@
         );
     }
 
-    /// Takes an endpoint's answer; `None` if another endpoint is to be asked.
+    /// Handles an endpoint's answer. Returns `None` if another endpoint is to be tried.
     fn handle_answer(&mut self, now: Mono, choice: &Choice, answer: Answer) -> Option<Outcome> {
         if answer.status.is_server_error() {
-            // The endpoint's own failure: it ran. Another endpoint may do better; the
-            // owner of a key has no other.
+            // A server error: the endpoint ran the request and failed. Another endpoint may
+            // succeed; a key has only its owner.
             self.state.record_failure(&choice.endpoint);
             self.may_have_run_at.push(choice.endpoint.clone());
             let other = choice.fence.is_none() && self.may_run_again();
@@ -282,8 +287,8 @@
         Some(Outcome::Answered(answer))
     }
 
-    fn record_refusal(&self, choice: &Choice, meaning: AnswerKind) {
-        match (meaning, choice.fence) {
+    fn record_refusal(&self, choice: &Choice, kind: AnswerKind) {
+        match (kind, choice.fence) {
             (AnswerKind::Misdirected, Some(fence)) => self.state.record_not_held(&self.job, fence),
             (AnswerKind::Misdirected, None) => self.state.record_gone(&choice.endpoint),
             (AnswerKind::Full, _) => {
@@ -294,7 +299,8 @@
         }
     }
 
-    /// Notes that an endpoint had no room, where any endpoint of its service would do.
+    /// Records that an endpoint had no room, if any endpoint of its service could run the
+    /// request.
     fn record_full(&self, choice: &Choice) {
         if choice.fence.is_none() {
             self.state.record_full(&self.job);
@@ -314,7 +320,7 @@
         self.has_time(now) && self.state.take_retry(now, &self.job.service)
     }
 
-    /// Ends a request that was refused at admission.
+    /// Outcome of a request that was refused at admission.
     fn refuse(&self, refusal: Refusal) -> Outcome {
         if self.may_have_run_at.is_empty() {
             return Outcome::NotRun(refusal);
@@ -322,9 +328,9 @@
         Outcome::Unknown(UnknownOutcomeReason::Broken, "no other endpoint has room")
     }
 
-    /// Ends a request that has no answer when the instance ends.
+    /// Outcome of a request that has no answer when the instance ends.
     ///
-    /// What an endpoint has, or may have, is not said to be not run.
+    /// A request that an endpoint has, or may have, is not reported as not run.
     fn end_for_stop(&self) -> Outcome {
         self.open.log_stopped(clock::mono());
         if self.may_have_run_at.is_empty() && !self.open.may_be_at_endpoint() {
@@ -334,7 +340,7 @@
         Outcome::Unknown(UnknownOutcomeReason::Stopped, cause)
     }
 
-    /// Ends a request whose last send was refused.
+    /// Outcome of a request whose last send was refused, with the default time to retry.
     fn refuse_with(&self, reason: RefusalReason) -> Outcome {
         self.refuse(Refusal {
             reason,
@@ -352,7 +358,7 @@
         let timeout_ms = self.endpoint_timeout_ms(choice, left_ms);
         let limit = Duration::from_millis(timeout_ms);
         match tokio::time::timeout(limit, self.exchange(choice)).await {
-            Ok(Ok(Exchanged { meaning, answer })) => match meaning {
+            Ok(Ok(Exchanged { kind, answer })) => match kind {
                 AnswerKind::Ran => {
                     self.state.record_answer(choice, self.job.key);
                     if choice.fence.is_none() {
@@ -373,7 +379,7 @@
                     SendResult::Answer(answer)
                 }
                 AnswerKind::Full | AnswerKind::Misdirected | AnswerKind::NotRun => {
-                    SendResult::Refused(meaning)
+                    SendResult::Refused(kind)
                 }
                 AnswerKind::Foreign => SendResult::MayHaveRun(Doubt::Foreign),
             },
@@ -382,7 +388,7 @@
             Ok(Err(CallError::Timeout)) | Err(_) if timeout_ms < left_ms => {
                 SendResult::MayHaveRun(Doubt::NoAnswer)
             }
-            // The time ended while the connection was being made.
+            // The time ended while the connection was being opened.
             Ok(Err(CallError::Timeout)) | Err(_) if self.sends == sends => {
                 SendResult::NotSent(NotSentCause::NoConnection)
             }
@@ -394,8 +400,8 @@
 
     /// How long to wait for one endpoint, in milliseconds.
     ///
-    /// All the time that is left, unless another endpoint could run the request too:
-    /// then the first is given several times the usual work.
+    /// This is all the time left, unless another endpoint could run the request too: then the
+    /// first one gets a multiple of the usual work time.
     fn endpoint_timeout_ms(&self, choice: &Choice, left_ms: u64) -> u64 {
         let attempts = self.route.attempts as usize;
         let other = choice.fence.is_none()
@@ -404,8 +410,8 @@
         if !other {
             return left_ms;
         }
-        let patience = self.job.work_ms * ENDPOINT_TIMEOUT_FACTOR;
-        patience.max(self.route.objective_ms / 2).min(left_ms)
+        let timeout = self.job.work_ms * ENDPOINT_TIMEOUT_FACTOR;
+        timeout.max(self.route.objective_ms / 2).min(left_ms)
     }
 
     async fn exchange(&mut self, choice: &Choice) -> Result<Exchanged, CallError> {
@@ -417,8 +423,8 @@
         self.open.enter_stage(now, Stage::AtEndpoint);
         let sent = link.send(req).await;
         let head = match sent {
-            // A kept connection that the endpoint has closed: a new one is as good as
-            // the first.
+            // The endpoint had closed the pooled connection, and nothing was sent on it. A new
+            // connection is as good as the first.
             Err(CallError::NotSent) => {
                 link = self.open_link(choice).await?;
                 let req = self.message.for_endpoint(&choice.endpoint, left_ms);
@@ -426,14 +432,13 @@
             }
             sent => sent?,
         };
-        let meaning =
-            exchange::answer_kind(self.metadata.id.as_ref(), head.status(), head.headers());
+        let kind = exchange::answer_kind(self.metadata.id.as_ref(), head.status(), head.headers());
         let answer = http_link::read_answer(head).await?;
-        if meaning != AnswerKind::Foreign {
+        if kind != AnswerKind::Foreign {
             let mut pool = self.state.pool.borrow_mut();
             pool.put(clock::mono(), choice, link, &answer.headers);
         }
-        Ok(Exchanged { meaning, answer })
+        Ok(Exchanged { kind, answer })
     }
 
     async fn acquire_link(&self, choice: &Choice) -> Result<Link, CallError> {
@@ -460,6 +465,6 @@
 
 /// An answer and what it means for the request.
 struct Exchanged {
-    meaning: AnswerKind,
+    kind: AnswerKind,
     answer: Answer,
 }
--- a/crates/citronway/src/gateway/traffic/mod.rs
+++ b/crates/citronway/src/gateway/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests and sends them to endpoints, on a thread of its own.
+//! The traffic thread: accepts callers' requests and forwards them to endpoints.
 
 mod asks;
 mod cold;
@@ -37,24 +37,24 @@
 pub use seen::{ControlSenders, TrafficReport};
 pub use trial::TrialEvent;
 
-/// Pause after a connection could not be taken, as when descriptors run out.
+/// Pause after a failed accept, for example when no descriptors are left.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time between two looks at those that wait, when nothing else causes one.
+/// Interval between decisions about waiting requests when no event triggers one.
 const WAITING_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
-/// Time in which what broke with an endpoint is gathered before it is to_control: its caller may
-/// send harmful work again at another instance within 20 ms.
+/// Time in which crash signs of one endpoint are batched before they are reported. It is short
+/// because the caller may send harmful work again at another instance within 20 ms.
 const CRASH_BATCH_DELAY: Duration = Duration::from_millis(3);
 
-/// Time between two accounts of what was reports.
+/// Interval between reports to `control`.
 const REPORT_PERIOD: Duration = Duration::from_millis(100);
 
-/// Serves callers until asked to stop and all requests are answered.
+/// Serves callers until the instance is asked to stop and all requests are answered.
 ///
 /// # Errors
 ///
-/// When the address cannot be taken, or a part of the duty panicked.
+/// When the address cannot be bound, or a task of the thread panicked.
 pub async fn serve(
     cfg: &InstanceSettings,
     view: watch::Receiver<View>,
@@ -78,9 +78,9 @@
     loop {
         tokio::select! {
             () = accept(listener.as_ref(), &state) => {}
-            // Failure: callers go on connecting when few instances of a zone are left,
-            // and the last of them are cut off when the process ends. A closed port
-            // sends them elsewhere before a request is read.
+            // Failure: when few instances of a zone are left, callers keep connecting, and the
+            // last of them are cut off when the process ends. Closing the port sends them
+            // elsewhere before a request is read.
             () = state.wait_for_phase(Phase::Closing), if listener.is_some() => {
                 listener = None;
                 log::info!("the callers' port is closed");
@@ -89,8 +89,8 @@
                 send_last_report(&state, &reports);
                 return Ok(());
             }
-            // Failure: one of them panics, and the instance takes requests that nobody
-            // sends on any more.
+            // Failure: a task panics, and the instance accepts requests that are never
+            // forwarded.
             Some(Err(e)) = tasks.join_next() => {
                 state.open_requests.end_all(clock::mono());
                 return Err(io::Error::other(e));
@@ -99,13 +99,13 @@
     }
 }
 
-/// Gives the last account.
+/// Sends the last report.
 ///
-/// Failure guarded against: the last request of an instance that stops ends with a crash of its
-/// endpoint, and nobody else hears of it.
+/// Failure guarded against: the last request of a stopping instance ends with a crash of its
+/// endpoint, and no other instance learns of it.
 fn send_last_report(state: &State, reports: &mpsc::Sender<TrafficReport>) {
     if let Err(e) = reports.try_send(state.take_report()) {
-        log::warn!(cause = e.to_string(); "the last account of the traffic was dropped");
+        log::warn!(cause = e.to_string(); "last traffic report dropped");
     }
 }
 
@@ -119,7 +119,7 @@
                 tokio::task::spawn_local(connection::serve(Rc::clone(state), stream));
             }
             Err(e) => {
-                log::warn!(cause = e.to_string(); "the callers' address took no connection");
+                log::warn!(cause = e.to_string(); "failed to accept a caller connection");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -149,14 +149,13 @@
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            // All that an endpoint had breaks at once.
+            // All connections to a crashed endpoint break at once.
             () = state.crash_seen.notified() => tokio::time::sleep(CRASH_BATCH_DELAY).await,
         }
-        // A full ring means that `control` is behind; the next account has the same
-        // gauges, and what is missing of the samples only delays an estimate. Signs of
-        // crashes come once.
+        // A full channel means that `control` is behind. The next report has the same gauges,
+        // and lost samples only delay an estimate, but each crash sign is reported only once.
         if let Err(e) = reports.try_send(state.take_report()) {
-            log::debug!(cause = e.to_string(); "an account of the traffic was dropped");
+            log::debug!(cause = e.to_string(); "traffic report dropped");
             state.restore_signs(e.into_inner().signs);
         }
     }
--- a/crates/citronway/src/gateway/traffic/open_requests.rs
+++ b/crates/citronway/src/gateway/traffic/open_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that were next_number and have no whole answer yet, and where each of them stands.
+//! Requests without a complete answer, and the stage that each has reached.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,21 +14,21 @@
 use crate::clock;
 use crate::gateway::metrics::Metrics;
 
-/// Message for a request that this instance leaves without an answer.
+/// Log message for a request that this instance leaves without an answer.
 const UNANSWERED: &str = "left without an answer";
 
-/// Where a request stands on its way to an answer.
+/// Stage of a request on its way to an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Stage {
     /// Its body is being read.
     Reading,
     /// It waits for a place at an endpoint.
     Waiting,
-    /// A connection to an endpoint is being made for it.
+    /// A connection to an endpoint is being opened for it.
     Connecting,
     /// An endpoint has it, or may have it.
     AtEndpoint,
-    /// Its answer is known and on the way to the caller.
+    /// Its answer is known and is being sent to the caller.
     Answering,
 }
 
@@ -42,7 +42,7 @@
         Self::Answering,
     ];
 
-    /// Word for logs and metrics.
+    /// Name in logs and metrics.
     const fn as_str(self) -> &'static str {
         match self {
             Self::Reading => "reading",
@@ -54,7 +54,7 @@
     }
 }
 
-/// All requests that have no whole answer, by the order in which they came.
+/// All requests without a complete answer, in order of arrival.
 #[derive(Debug)]
 pub(super) struct OpenRequests {
     metrics: Metrics,
@@ -62,12 +62,12 @@
     next_number: Cell<u64>,
 }
 
-/// Where one request stands.
+/// State of one request.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
     arrived: Mono,
     stage: Cell<Stage>,
-    /// When it came to its stage.
+    /// When the current stage began.
     stage_since: Cell<Mono>,
     id: RefCell<Option<HeaderValue>>,
     endpoint: RefCell<Option<EndpointStart>>,
@@ -76,35 +76,35 @@
 }
 
 impl OpenRequest {
-    /// Notes the id under which the caller sent it.
+    /// Sets the id that the caller gave the request.
     pub(super) fn set_id(&self, id: Option<&HeaderValue>) {
         self.id.replace(id.cloned());
     }
 
-    /// Notes that it has come to a stage.
+    /// Moves the request to a stage.
     pub(super) fn enter_stage(&self, now: Mono, stage: Stage) {
         self.stage.set(stage);
         self.stage_since.set(now);
     }
 
-    /// Whether an endpoint has it or may have it.
+    /// Whether an endpoint has the request or may have it.
     pub(super) fn may_be_at_endpoint(&self) -> bool {
         self.stage.get() == Stage::AtEndpoint
     }
 
-    /// Notes the endpoint that was chosen for it; a connection is made first.
+    /// Sets the chosen endpoint and enters [`Stage::Connecting`].
     pub(super) fn set_endpoint(&self, now: Mono, choice: &Choice) {
         self.endpoint.replace(Some(choice.endpoint.clone()));
         self.fence.set(choice.fence.unwrap_or_default());
         self.enter_stage(now, Stage::Connecting);
     }
 
-    /// Logs that its way to an answer was broken off because the instance stops.
+    /// Logs that the request was aborted because the instance stops.
     pub(super) fn log_stopped(&self, now: Mono) {
         self.log_end(now, Level::Info, "broken off by the stop");
     }
 
-    /// Logs where it stood when it ended without having come to its answer.
+    /// Logs the stage of a request that ended without an answer.
     pub(super) fn log_end(&self, now: Mono, level: Level, message: &str) {
         let id = self.id.borrow();
         let request = display_id(id.as_ref());
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Takes a request that has just come; it is unanswered until the guard is dropped.
+    /// Adds a request that has just arrived; it is removed when the guard is dropped.
     pub(super) fn insert(self: &Rc<Self>, now: Mono) -> OpenGuard {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -153,7 +153,7 @@
         }
     }
 
-    /// How many stand at each stage.
+    /// Number of requests at each stage.
     fn counts(&self) -> [usize; Stage::ALL.len()] {
         let requests = self.requests.borrow();
         let count = |stage| {
@@ -163,20 +163,20 @@
         Stage::ALL.map(count)
     }
 
-    /// Shows in the metrics how many stand where.
+    /// Updates the gauges of requests at each stage.
     pub(super) fn update_metrics(&self) {
         for (stage, count) in Stage::ALL.into_iter().zip(self.counts()) {
             self.metrics.set_unanswered(stage.as_str(), count);
         }
     }
 
-    /// Logs how many stand where.
+    /// Logs the number of requests at each stage.
     pub(super) fn log_counts(&self, message: &str, connections: u32) {
         let [reading, waiting, connecting, at_endpoint, answering] = self.counts();
         log::info!(connections, reading, waiting, connecting, at_endpoint, answering; "{message}");
     }
 
-    /// Ends all of them and logs each as left without an answer.
+    /// Removes all requests and logs each as left without an answer.
     pub(super) fn end_all(&self, now: Mono) {
         for open in self.requests.take().values() {
             open.log_end(now, Level::Error, UNANSWERED);
@@ -184,22 +184,21 @@
     }
 }
 
-/// A request that has no whole answer yet.
+/// Guard of a request without a complete answer; removes it when dropped.
 #[derive(Debug)]
 pub(super) struct OpenGuard {
     all: Rc<OpenRequests>,
     number: u64,
-    /// Where it stands.
+    /// State of the request.
     pub request: Rc<OpenRequest>,
 }
 
 impl Drop for OpenGuard {
     fn drop(&mut self) {
-        let known = self.all.requests.borrow_mut().swap_remove(&self.number);
+        let removed = self.all.requests.borrow_mut().swap_remove(&self.number);
         let stage = self.request.stage.get();
-        // Those that the end of the instance left without an answer are no longer among
-        // them and were logged then.
-        if known.is_none() || stage == Stage::Answering {
+        // Requests that were removed at the end of the instance have already been logged.
+        if removed.is_none() || stage == Stage::Answering {
             return;
         }
         let now = clock::mono();
--- a/crates/citronway/src/gateway/traffic/outcome.rs
+++ b/crates/citronway/src/gateway/traffic/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request ended, and the answer that its caller gets.
+//! Outcomes of requests, and the responses that callers get for them.
 
 use bytes::Bytes;
 use citronway_core::gateway::admission::{
@@ -18,23 +18,24 @@
 use crate::gateway::http_link::Answer;
 use crate::gateway::metrics::{Class, OutcomeKind};
 
-/// Time to come back where nothing better is known, in milliseconds.
+/// Retry-after time where no better estimate is known, in milliseconds.
 pub(super) const DEFAULT_RETRY_MS: u64 = 200;
 
-/// How a request ended, for the caller and for the logs.
+/// Outcome of a request, for the caller and the logs.
 #[derive(Debug)]
 pub(super) enum Outcome {
     /// The endpoint's own answer.
     Answered(Answer),
-    /// It has not run and will not.
+    /// The request has not run and will not run.
     NotRun(Refusal),
-    /// The same: its work is known to crash endpoints, and coming back does not help.
+    /// The request has not run: its work is known to crash endpoints. No retry-after time is
+    /// stated because a retry would be refused too.
     Harmful(Fingerprint),
-    /// It may have run; the reason for metrics, the cause for logs and the caller.
+    /// The request may have run; the reason is for metrics, the cause for logs and the caller.
     Unknown(UnknownOutcomeReason, &'static str),
-    /// Its time ended; it may have run.
+    /// The request's time ended; it may have run.
     TimedOut,
-    /// It cannot be accepted as it is.
+    /// The request is invalid, with the status and the cause for the caller.
     Rejected(StatusCode, &'static str),
 }
 
@@ -52,12 +53,12 @@
     }
 }
 
-/// A refusal because the instance stops.
+/// A refusal because the instance is stopping.
 pub(super) const fn stopping() -> Outcome {
     not_run(RefusalReason::Stopping, STOPPING_RETRY_MS)
 }
 
-/// A refusal.
+/// A refusal of a request that has not run.
 pub(super) const fn not_run(reason: RefusalReason, retry_after_ms: u64) -> Outcome {
     Outcome::NotRun(Refusal {
         reason,
@@ -65,7 +66,7 @@
     })
 }
 
-/// The answer to an outcome.
+/// Builds the response for an outcome.
 pub(super) fn respond(
     state: &State,
     id: Option<&HeaderValue>,
@@ -123,12 +124,12 @@
     (status, headers, Bytes::from_static(cause.as_bytes()))
 }
 
-/// Id of a request as logs show it.
+/// Id of a request as shown in logs; `-` without one.
 pub(super) fn display_id(id: Option<&HeaderValue>) -> &str {
     id.and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
 
-/// Logs and counts an outcome.
+/// Logs an outcome and counts it in the metrics.
 pub(super) fn record(
     state: &State,
     arrived: Mono,
@@ -157,7 +158,7 @@
             let reason = reason.as_str();
             log::info!(request, reason, cause, ms; "may have run");
         }
-        Outcome::TimedOut => log::info!(request, ms; "timed out, may have run"),
+        Outcome::TimedOut => log::info!(request, ms; "request timed out; it may have run"),
         Outcome::Rejected(status, cause) => {
             let status = status.as_u16();
             log::info!(request, status, cause, ms; "rejected");
--- a/crates/citronway/src/gateway/traffic/pool.rs
+++ b/crates/citronway/src/gateway/traffic/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to endpoints.
+//! Pool of idle connections to endpoints.
 
 use std::net::SocketAddr;
 
@@ -11,14 +11,13 @@
 
 use crate::gateway::http_link::Link;
 
-/// Kept connections to one endpoint at most.
+/// Maximum number of idle connections per endpoint.
 const MAX_IDLE: usize = 8;
 
-/// Time for which an idle connection is used again, in milliseconds, where the
-/// endpoint states none.
+/// Idle timeout of a pooled connection where the endpoint states none, in milliseconds.
 const IDLE_MS: u64 = 4_000;
 
-/// How long before the stated end an idle connection is left alone, in milliseconds:
+/// Margin before the stated idle timeout in which a connection is not reused, in milliseconds:
 /// a request that crosses the endpoint's close may or may not have run.
 const IDLE_MARGIN_MS: u64 = 1_000;
 
@@ -31,7 +30,7 @@
 
 #[derive(Debug)]
 struct Idle {
-    /// Whose it is: another start may listen at the address since.
+    /// Start of the endpoint to which it leads; a later start may listen at the same address.
     start: EndpointStart,
     link: Link,
     since: Mono,
@@ -39,19 +38,20 @@
 }
 
 impl Pool {
-    /// Takes a connection that is fit for another request, the one used last.
+    /// Takes the most recently used connection that is fit for another request, if there is
+    /// one.
     pub fn take(&mut self, now: Mono, choice: &Choice, repeat: Repeat) -> Option<Link> {
         let idle = self.idle.get_mut(&choice.address)?;
         while let Some(kept) = idle.pop() {
-            // Failure: an endpoint starts again under its name and address. What is sent on
-            // a connection of the earlier start is reset, and work that may not be
-            // repeated is lost.
+            // Failure: an endpoint restarts under the same name and address. A request sent on
+            // a connection of the earlier start is reset, and work that must not be repeated is
+            // lost.
             if kept.start != choice.endpoint {
                 continue;
             }
-            // Failure: an endpoint forgets an idle connection without a word, and what
-            // is sent on it next is reset; work that may not be repeated is then lost.
-            // One that was used a moment ago is not forgotten yet.
+            // Failure: an endpoint drops an idle connection without closing it, and the next
+            // request on it is reset; work that must not be repeated is then lost. A connection
+            // that was used a moment ago has not been dropped yet.
             let fresh = match repeat {
                 Repeat::Idempotent => true,
                 Repeat::AtMostOnce => now.since(kept.since) < AT_MOST_ONCE_IDLE_MS,
@@ -63,7 +63,8 @@
         None
     }
 
-    /// Keeps a connection after a whole answer with these headers.
+    /// Keeps a connection after a complete answer with these headers, if the endpoint allows
+    /// reuse.
     pub fn put(&mut self, now: Mono, choice: &Choice, link: Link, headers: &HeaderMap) {
         let Some(idle_ms) = reusable_ms(headers) else {
             return;
@@ -80,7 +81,7 @@
         });
     }
 
-    /// Drops connections that are no longer fit.
+    /// Drops connections that are no longer fit for use.
     pub fn prune(&mut self, now: Mono) {
         self.idle.retain(|_, idle| {
             idle.retain(|kept| now < kept.usable_until && !kept.link.is_closed());
@@ -94,25 +95,26 @@
     }
 }
 
-/// For how long a connection may be used again after an answer, if at all.
+/// Time in which a connection may be reused after an answer, in milliseconds; `None` if it may
+/// not.
 fn reusable_ms(headers: &HeaderMap) -> Option<u64> {
     let closes = headers
         .get_all(http::header::CONNECTION)
         .iter()
         .any(|value| {
-            let words = value.to_str().unwrap_or_default().split(',');
-            words
+            let directives = value.to_str().unwrap_or_default().split(',');
+            directives
                 .map(str::trim)
-                .any(|word| word.eq_ignore_ascii_case("close"))
+                .any(|directive| directive.eq_ignore_ascii_case("close"))
         });
     if closes {
         return None;
     }
     let stated = headers.get("keep-alive").and_then(|value| {
-        let words = value.to_str().ok()?.split(',');
-        let seconds = words
+        let directives = value.to_str().ok()?.split(',');
+        let seconds = directives
             .map(str::trim)
-            .find_map(|word| word.strip_prefix("timeout="))?;
+            .find_map(|directive| directive.strip_prefix("timeout="))?;
         seconds.parse::<u64>().ok()
     });
     let ms = stated.map_or(IDLE_MS, |s| (s * 1_000).saturating_sub(IDLE_MARGIN_MS));
--- a/crates/citronway/src/gateway/traffic/request.rs
+++ b/crates/citronway/src/gateway/traffic/request.rs
@@ -1,4 +1,4 @@
-//! A request of a caller: what it asks for, and the answer it gets.
+//! Reads a caller's request, forwards it and builds the response.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -19,11 +19,11 @@
 use crate::clock;
 use crate::gateway::metrics::Class;
 
-/// How long a caller is waited for that states no time, in milliseconds.
+/// Wait assumed for a caller that states none, in milliseconds.
 const DEFAULT_WAIT_MS: u64 = 30_000;
 
-/// Time to come back where the configuration has to be mended first, in milliseconds: an
-/// operator who sees it needs seconds at least.
+/// Retry-after time where the configuration has to be corrected first, in milliseconds: an
+/// operator needs seconds at least.
 const UNUSABLE_RETRY_MS: u64 = 2_000;
 
 /// Answers a request of a caller.
@@ -58,7 +58,7 @@
     outcome::respond(&state, id, outcome, guard)
 }
 
-/// A request whose head was read.
+/// A request whose head has been parsed.
 struct ParsedRequest<'a> {
     arrived: Mono,
     head: &'a Parts,
@@ -107,12 +107,12 @@
         }
         Err(_broken) => return Outcome::Rejected(StatusCode::BAD_REQUEST, "body not whole"),
     };
-    let usual = state.record_arrival(route);
-    let number = usual.number;
-    let Some((service, known)) = routes.service(route, number) else {
+    let estimate = state.record_arrival(route);
+    let number = estimate.number;
+    let Some((service, service_config)) = routes.service(route, number) else {
         return not_run(RefusalReason::UnusableRoute, UNUSABLE_RETRY_MS);
     };
-    let key = match (known.sharded, metadata.key) {
+    let key = match (service_config.sharded, metadata.key) {
         (true, None) => return Outcome::Rejected(StatusCode::BAD_REQUEST, "no key"),
         (true, Some(key)) => {
             state.count_key(service, key);
@@ -123,8 +123,8 @@
     state.count_request(arrived, service);
     let stated_ms = metadata.wait_ms.unwrap_or(DEFAULT_WAIT_MS);
     let wait_ms = stated_ms.min(route.timeout_ms);
-    // A caller that tries again states what is left of its time. What it has spent
-    // before counts towards the objective too.
+    // A caller that retries states only the time it has left. The time it spent before counts
+    // towards the objective too.
     let spent_ms = state.record_wait(&route.name, stated_ms) - stated_ms;
     let job = Job {
         ticket: state.next_ticket(),
@@ -136,8 +136,8 @@
         objective_at: arrived.plus(route.objective_ms).minus(spent_ms),
         deadline: arrived.plus(wait_ms),
         caller_deadline: arrived.plus(stated_ms),
-        work_ms: usual.work_ms,
-        answer_bytes: usual.answer_bytes,
+        work_ms: estimate.work_ms,
+        answer_bytes: estimate.answer_bytes,
         tried: Vec::new(),
     };
     let forwarding = Forwarding {
--- a/crates/citronway/src/gateway/traffic/seen.rs
+++ b/crates/citronway/src/gateway/traffic/seen.rs
@@ -1,4 +1,4 @@
-//! What the traffic tells `control` several times a second.
+//! Reports that the traffic thread sends to `control` several times a second.
 
 use citronway_core::gateway::crashes::Sign;
 use citronway_core::gateway::report;
@@ -7,24 +7,24 @@
 use super::cold::ColdQuery;
 use super::trial::TrialEvent;
 
-/// Rings by which the traffic tells and asks `control`.
+/// Sending halves of the channels from the traffic thread to `control`.
 #[derive(Debug)]
 pub struct ControlSenders {
-    /// What was seen.
+    /// Periodic reports.
     pub reports: mpsc::Sender<TrafficReport>,
     /// Trials of work under suspicion.
     pub trials: mpsc::Sender<TrialEvent>,
-    /// Sends to cold endpoints.
+    /// Queries about sends to cold endpoints.
     pub cold: mpsc::Sender<ColdQuery>,
 }
 
-/// Account of the last period.
+/// Report on the last period.
 #[derive(Debug, Clone, Default)]
 pub struct TrafficReport {
     /// Use of endpoints and keys.
     pub usage: report::Observations,
-    /// Usual time of work at each service, in milliseconds.
+    /// Mean time of work at each service, in milliseconds.
     pub work_ms: Vec<(citronway_core::ids::ServiceName, f64)>,
-    /// What was seen of work that may crash endpoints.
+    /// Signs of work that crashed endpoints, or that ran to its end.
     pub signs: Vec<Sign>,
 }
--- a/crates/citronway/src/gateway/traffic/sent.rs
+++ b/crates/citronway/src/gateway/traffic/sent.rs
@@ -1,4 +1,4 @@
-//! What came of one send of a request to an endpoint.
+//! Results of sending a request to an endpoint.
 
 use citronway_core::gateway::admission::Choice;
 use citronway_core::gateway::crashes::Fingerprint;
@@ -7,21 +7,22 @@
 use super::outcome::display_id;
 use crate::gateway::http_link::Answer;
 
-/// Why it is not known whether a request ran.
+/// Why it is unknown whether a request ran.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Doubt {
     /// The answer belongs to another request.
     Foreign,
-    /// The endpoint was silent for longer than another should be kept waiting.
+    /// The endpoint did not answer within its timeout, and another endpoint could run the
+    /// request.
     NoAnswer,
-    /// The answer broke off.
+    /// The answer was truncated.
     Truncated,
     /// The connection broke.
     Broken,
 }
 
 impl Doubt {
-    /// Words for logs and callers.
+    /// Cause as shown to callers and in logs.
     pub(super) const fn cause(self) -> &'static str {
         match self {
             Self::Foreign => "the answer belongs to another request",
@@ -34,29 +35,30 @@
 
 /// Why nothing reached an endpoint.
 pub(super) enum NotSentCause {
-    /// It takes no connection.
+    /// The endpoint accepted no connection.
     NoConnection,
-    /// It took one and reset it before anything was sent.
+    /// The endpoint accepted a connection and reset it before anything was sent.
     Reset,
 }
 
-/// What came of one send.
+/// Result of sending a request once.
 pub(super) enum SendResult {
     /// The endpoint's answer.
     Answer(Answer),
-    /// It has not run there.
+    /// The endpoint did not run the request.
     Refused(AnswerKind),
     /// Nothing reached the endpoint.
     NotSent(NotSentCause),
-    /// Nothing was tried: no time was left to work.
+    /// No attempt was made because no time was left to work.
     TooLate,
-    /// It may have run there.
+    /// The endpoint may have run the request.
     MayHaveRun(Doubt),
-    /// The time ended.
+    /// The request's time ended.
     TimedOut,
 }
 
-/// Logs a send, `ms` after the request's arrival; `work` is told where it may have run.
+/// Logs a send and its result. `ms` is the time since the request's arrival; `work` is the
+/// fingerprint if the request may have run.
 pub(super) fn log_send(
     metadata: &RequestMetadata,
     choice: &Choice,
@@ -73,8 +75,8 @@
             let status = answer.status.as_u16();
             log::info!(request, endpoint:%, fence, sends, status, ms; "endpoint answered");
         }
-        SendResult::Refused(meaning) => {
-            let refusal = format!("{meaning:?}");
+        SendResult::Refused(kind) => {
+            let refusal = format!("{kind:?}");
             log::info!(request, endpoint:%, fence, sends, refusal; "endpoint did not run it");
         }
         SendResult::TooLate => {
@@ -93,7 +95,7 @@
             log::info!(request, endpoint:%, fence, sends, work, cause; "endpoint may have run it");
         }
         SendResult::TimedOut => {
-            log::info!(request, endpoint:%, fence, sends; "endpoint was silent")
+            log::info!(request, endpoint:%, fence, sends; "endpoint request timed out; it may have run")
         }
     }
 }
--- a/crates/citronway/src/gateway/traffic/state/guards.rs
+++ b/crates/citronway/src/gateway/traffic/state/guards.rs
@@ -1,4 +1,4 @@
-//! What is counted or held until a guard is dropped.
+//! Guards that release a count or a place when they are dropped.
 
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 
 use super::State;
 
-/// A connection of a caller, counted while it is open.
+/// Guard that counts an open connection of a caller.
 #[derive(Debug)]
 pub(in crate::gateway::traffic) struct OpenConnection(pub(super) Rc<State>);
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Takes a waiting request out when its caller leaves.
+/// Guard that removes a waiting request when its caller leaves.
 pub(super) struct Waiting<'a> {
     pub state: &'a State,
     pub ticket: u64,
@@ -26,9 +26,9 @@
 }
 
 impl Drop for Waiting<'_> {
-    /// Failure guarded against: a caller leaves when its request has been given a place and
-    /// does not know it yet. Nobody gives the place back, and after a few of these the
-    /// endpoint counts as full for as long as the process runs.
+    /// Failure guarded against: a caller leaves after its request has been given a place and
+    /// before it has read that decision. The place is never released, and after a few of these
+    /// the endpoint counts as full until the process ends.
     fn drop(&mut self) {
         let state = self.state;
         if state
@@ -40,7 +40,7 @@
             state.admission.borrow_mut().remove(self.ticket);
             return;
         }
-        // A decision that was read is no longer in the channel.
+        // A decision that has been read is no longer in the channel.
         if let Ok(Decision::Send(choice)) = self.decided.try_recv() {
             state
                 .admission
@@ -51,7 +51,7 @@
     }
 }
 
-/// A request at an endpoint; gives its place back when it ends in any way.
+/// Guard of a request at an endpoint; releases its place however the request ends.
 #[derive(Debug)]
 pub(in crate::gateway::traffic) struct InFlight {
     pub(super) state: Rc<State>,
--- a/crates/citronway/src/gateway/traffic/state/mod.rs
+++ b/crates/citronway/src/gateway/traffic/state/mod.rs
@@ -1,4 +1,4 @@
-//! What all requests of the traffic thread share.
+//! State that all requests of the traffic thread share.
 
 mod guards;
 mod phase;
@@ -32,7 +32,7 @@
 pub(super) use phase::Phase;
 pub use phase::Stop;
 
-/// Weight of the newest answer in the mean time of work, and size, of a route.
+/// Weight of the newest answer in a route's mean work time and mean answer size.
 const MEAN_WEIGHT: f64 = 0.02;
 
 /// State of the traffic thread.
@@ -42,27 +42,27 @@
     pub stop: watch::Receiver<Stop>,
     pub pool: RefCell<Pool>,
     pub metrics: Metrics,
-    /// ListenerProbes at endpoints whose connections broke.
+    /// Probes of endpoints whose connections broke.
     pub listener_probes: ListenerProbes,
-    /// Requests without a whole answer.
+    /// Requests without a complete answer.
     pub open_requests: Rc<OpenRequests>,
     admission: RefCell<Admission>,
     waiting: RefCell<IndexMap<u64, oneshot::Sender<Decision>>>,
     waiting_added: Notify,
     last_ticket: Cell<u64>,
     retry_limit: RetryLimit,
-    /// How much more than its service states a cold endpoint may get, as a factor.
+    /// Factor by which the rate limit that a service states for cold endpoints may be exceeded.
     cold_overage: f64,
     retry_budgets: RefCell<IndexMap<ServiceName, SharedRetryBudget>>,
-    /// Mean time of work by route, in milliseconds.
+    /// Statistics by route name.
     route_stats: RefCell<IndexMap<String, RouteStats>>,
     answers: RefCell<IndexMap<EndpointTag, Answers>>,
     key_samples: RefCell<IndexMap<ServiceName, Vec<u16>>>,
-    /// An endpoint crashed, and others are to know it at once.
+    /// Notified when an endpoint has crashed, so that other instances learn of it at once.
     pub crash_seen: Notify,
-    /// What was seen of work that may crash endpoints, since the last account.
+    /// Signs of work that crashed endpoints, or that ran to its end, since the last report.
     signs: RefCell<Vec<Sign>>,
-    /// What `control` decides.
+    /// Queries to `control`.
     pub control: ControlClient,
     connections: Cell<u32>,
     phase: watch::Sender<Phase>,
@@ -73,18 +73,18 @@
     /// First service of the route.
     service: Option<ServiceName>,
     mean_ms: f64,
-    /// Mean size of an answer, in bytes; none before the first.
+    /// Mean size of an answer, in bytes; `None` before the first answer.
     mean_bytes: Option<f64>,
-    /// Longest time that a caller stated to wait, in milliseconds.
+    /// Longest wait that a caller has stated, in milliseconds.
     longest_wait_ms: u64,
-    /// Requests of the route so far; places them among its targets.
-    taken: u64,
+    /// Requests of the route so far; the count assigns each request to one of its targets.
+    requests: u64,
 }
 
-/// What is usual on a route.
+/// Estimates for a request of a route.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RouteEstimate {
-    /// Number of the request among those of its route.
+    /// Number of the request within its route.
     pub number: u64,
     /// Mean time of work, in milliseconds.
     pub work_ms: u64,
@@ -140,21 +140,21 @@
         self.last_ticket.get()
     }
 
-    /// Counts a request of a route and tells what is usual there.
+    /// Counts a request of a route and returns the estimates for it.
     pub(super) fn record_arrival(&self, route: &Route) -> RouteEstimate {
-        let mut work = self.route_stats.borrow_mut();
-        // Instances begin at different places, so that few requests of each still
-        // divide well over all.
-        let first = || RouteStats {
+        let mut stats = self.route_stats.borrow_mut();
+        // Instances start at different numbers, so that the requests divide well over the
+        // targets even if each instance gets few of them.
+        let new_stats = || RouteStats {
             service: route.targets.first().map(|target| target.service.clone()),
-            // A first guess; the mean follows the answers.
+            // Initial guess; the mean follows the answers.
             mean_ms: route.objective_ms as f64 * 0.3,
             mean_bytes: None,
             longest_wait_ms: 0,
-            taken: self.view.borrow().rank % 1_000,
+            requests: self.view.borrow().rank % 1_000,
         };
-        let entry = work.entry(route.name.clone()).or_insert_with(first);
-        entry.taken += 1;
+        let entry = stats.entry(route.name.clone()).or_insert_with(new_stats);
+        entry.requests += 1;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -162,20 +162,21 @@
         )]
         let whole = |mean: f64| mean as u64;
         RouteEstimate {
-            number: entry.taken,
+            number: entry.requests,
             work_ms: whole(entry.mean_ms),
             answer_bytes: whole(entry.mean_bytes.unwrap_or_default()),
         }
     }
 
-    /// The longest time that callers of the route were seen to wait, this one included.
+    /// Records the wait that a caller states and returns the longest one seen on the route, in
+    /// milliseconds.
     pub(super) fn record_wait(&self, route: &str, stated_ms: u64) -> u64 {
-        let mut work = self.route_stats.borrow_mut();
-        let Some(work) = work.get_mut(route) else {
+        let mut stats = self.route_stats.borrow_mut();
+        let Some(stats) = stats.get_mut(route) else {
             return stated_ms;
         };
-        work.longest_wait_ms = work.longest_wait_ms.max(stated_ms);
-        work.longest_wait_ms
+        stats.longest_wait_ms = stats.longest_wait_ms.max(stated_ms);
+        stats.longest_wait_ms
     }
 
     pub(super) fn count_key(&self, service: &ServiceName, key: u16) {
@@ -203,7 +204,9 @@
             .or_insert_with(|| SharedRetryBudget::new(limit)))
     }
 
-    /// ControlClient for a place; waits for it if need be.
+    /// Requests a place at an endpoint and waits for it if none is free.
+    ///
+    /// Returns `None` if no decision was made.
     pub(super) async fn find_place(&self, job: Job) -> Option<Decision> {
         let now = clock::mono();
         let ticket = job.ticket;
@@ -225,7 +228,7 @@
         (&mut waiting.decided).await.ok()
     }
 
-    /// Marks a sent request's place as taken until the guard is dropped.
+    /// Holds the place of a sent request until the guard is dropped.
     pub(super) fn in_flight(self: &Rc<Self>, choice: &Choice) -> InFlight {
         InFlight {
             state: Rc::clone(self),
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Notes a whole answer, its size and the time it took.
+    /// Records a complete answer, its size in bytes and its time in milliseconds.
     pub(super) fn record_served(
         &self,
         route: &str,
@@ -242,60 +245,60 @@
         bytes: usize,
     ) {
         let took = took_ms as f64;
-        let mut work = self.route_stats.borrow_mut();
-        let Some(work) = work.get_mut(route) else {
+        let mut stats = self.route_stats.borrow_mut();
+        let Some(stats) = stats.get_mut(route) else {
             return;
         };
-        let relative = took / work.mean_ms.max(1.0);
-        work.mean_ms += (took - work.mean_ms) * MEAN_WEIGHT;
-        let mean = work.mean_bytes.unwrap_or(bytes as f64);
-        work.mean_bytes = Some(mean + (bytes as f64 - mean) * MEAN_WEIGHT);
+        let relative = took / stats.mean_ms.max(1.0);
+        stats.mean_ms += (took - stats.mean_ms) * MEAN_WEIGHT;
+        let mean = stats.mean_bytes.unwrap_or(bytes as f64);
+        stats.mean_bytes = Some(mean + (bytes as f64 - mean) * MEAN_WEIGHT);
         let mut answers = self.answers.borrow_mut();
         let sum = answers.entry(EndpointTag::of(endpoint)).or_default();
         sum.served += 1.0;
         sum.relative += relative;
     }
 
-    /// Notes that the endpoint ran a request and answered.
+    /// Records that the endpoint ran a request and answered.
     pub(super) fn record_answer(&self, choice: &Choice, key: Option<u16>) {
         self.admission
             .borrow_mut()
             .record_answer(clock::mono(), choice, key);
     }
 
-    /// Takes what an endpoint of a service without keys says of its load.
+    /// Records the load that an endpoint of a service without keys reports.
     pub(super) fn record_load(&self, job: &Job, load: Option<EndpointLoad>) {
         let mut admission = self.admission.borrow_mut();
         admission.record_load(&self.view.borrow(), &job.service, load);
     }
 
-    /// Notes that an endpoint of a service without keys had no room.
+    /// Records that an endpoint of a service without keys had no room.
     pub(super) fn record_full(&self, job: &Job) {
         let mut admission = self.admission.borrow_mut();
         admission.record_rejection(clock::mono(), &self.view.borrow(), &job.service);
     }
 
-    /// Whether an endpoint has said that it leaves, or is not listed.
+    /// Whether an endpoint has announced that it is draining, or is not listed.
     pub(super) fn is_leaving(&self, endpoint: &EndpointStart) -> bool {
         let view = self.view.borrow();
         let known = view.registry.get(endpoint);
         known.is_none_or(|known| known.listing.draining)
     }
 
-    /// Notes that another process has the endpoint's address.
+    /// Records that another process has the endpoint's address.
     pub(super) fn record_gone(&self, endpoint: &EndpointStart) {
         self.admission
             .borrow_mut()
             .record_replaced(clock::mono(), endpoint);
     }
 
-    /// Notes that the endpoint failed or refused a request.
+    /// Records that the endpoint failed or refused a request.
     pub(super) fn record_failure(&self, endpoint: &EndpointStart) {
         let mut answers = self.answers.borrow_mut();
         answers.entry(EndpointTag::of(endpoint)).or_default().failed += 1.0;
     }
 
-    /// Notes that the endpoint took no connection or fell silent.
+    /// Records that the endpoint accepted no connection.
     pub(super) fn record_unreachable(&self, endpoint: &EndpointStart) {
         self.record_failure(endpoint);
         self.admission
@@ -303,7 +306,7 @@
             .record_failure(clock::mono(), endpoint);
     }
 
-    /// Notes that the endpoint reset a connection.
+    /// Records that the endpoint reset a connection.
     pub(super) fn record_reset(&self, endpoint: &EndpointStart) {
         self.record_failure(endpoint);
         self.admission
@@ -311,8 +314,8 @@
             .record_reset(clock::mono(), endpoint);
     }
 
-    /// Requests a second that all instances together may send to an endpoint, where it is cold
-    /// and its service states a limit.
+    /// Requests a second that all instances together may send to the endpoint. `None` if it is
+    /// not cold or its service states no limit.
     pub(super) fn cold_per_s(
         &self,
         now: Mono,
@@ -327,13 +330,13 @@
         Some(per_s * self.cold_overage)
     }
 
-    /// Notes that a cold endpoint is to get nothing for a while.
+    /// Records that a cold endpoint takes no requests for a while.
     pub(super) fn record_cold_busy(&self, endpoint: &EndpointStart, for_ms: u64) {
         let until = clock::mono().plus(for_ms);
         self.admission.borrow_mut().hold_back_cold(endpoint, until);
     }
 
-    /// Notes that the endpoint does not hold the key.
+    /// Records that the endpoint does not hold the key.
     pub(super) fn record_not_held(&self, job: &Job, fence: u64) {
         let mut admission = self.admission.borrow_mut();
         admission.record_not_held(clock::mono(), &self.view.borrow(), job, fence);
@@ -347,13 +350,13 @@
         self.decide_waiting();
     }
 
-    /// Has requests that wait end by `end`, with the process.
+    /// Sets when the process ends; waiting requests are refused by then.
     pub(super) fn set_end(&self, end: Mono) {
         self.admission.borrow_mut().limit_deadlines(end);
         self.decide_waiting();
     }
 
-    /// Requests that wait at this instance.
+    /// Number of requests that wait at this instance.
     pub(super) fn waiting_count(&self) -> usize {
         self.waiting.borrow().len()
     }
@@ -365,7 +368,7 @@
         }
     }
 
-    /// Decides about those that wait.
+    /// Decides which waiting requests get a place or are refused.
     pub(super) fn decide_waiting(&self) {
         if self.waiting.borrow().is_empty() {
             return;
@@ -386,7 +389,7 @@
         }
     }
 
-    /// Account of what was seen since the last one.
+    /// Takes the report on the time since the last one, and updates the gauges.
     pub(super) fn take_report(&self) -> TrafficReport {
         self.pool.borrow_mut().prune(clock::mono());
         let in_flight = self
@@ -426,8 +429,8 @@
                 continue;
             };
             let sum = work.entry(service.clone()).or_default();
-            sum.0 += route.mean_ms * route.taken as f64;
-            sum.1 += route.taken as f64;
+            sum.0 += route.mean_ms * route.requests as f64;
+            sum.1 += route.requests as f64;
         }
         let work_ms = work
             .into_iter()
@@ -442,12 +445,12 @@
         }
     }
 
-    /// Keeps signs of an account that could not be told, for the next one.
+    /// Keeps the crash signs of a report that could not be sent, for the next report.
     pub(super) fn restore_signs(&self, signs: Vec<Sign>) {
         self.signs.borrow_mut().extend(signs);
     }
 
-    /// Notes that an endpoint crashed while it had the work.
+    /// Records that an endpoint crashed while it had the work.
     pub(super) fn record_crash(&self, work: Fingerprint, endpoint: &EndpointStart) {
         self.metrics.count_crash();
         let endpoint = EndpointTag::of(endpoint);
@@ -455,7 +458,7 @@
         self.crash_seen.notify_one();
     }
 
-    /// Notes that an endpoint ran work to its end that is under suspicion.
+    /// Records that an endpoint ran work under suspicion to its end.
     pub(super) fn record_cleared(&self, work: Fingerprint) {
         let sign = Sign::Answered { work };
         let mut signs = self.signs.borrow_mut();
@@ -473,23 +476,23 @@
         self.connections.get()
     }
 
-    /// Logs how many connections are open and where their requests stand.
+    /// Logs the number of open connections and of requests at each stage.
     pub(super) fn log_open_requests(&self, message: &str) {
         self.open_requests
             .log_counts(message, self.open_connections());
     }
 
-    /// Goes on to a later phase of stopping.
+    /// Enters a later phase of the stop.
     pub(super) fn enter_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
-    /// Whether no more requests are taken because the instance stops.
+    /// Whether no more requests are accepted because the instance is stopping.
     pub(super) fn is_closing(&self) -> bool {
         *self.phase.borrow() >= Phase::Closing
     }
 
-    /// Resolves once the instance has come to a phase.
+    /// Resolves once the instance has reached a phase.
     pub(super) async fn wait_for_phase(&self, phase: Phase) {
         let mut phases = self.phase.subscribe();
         if phases.wait_for(|now| *now >= phase).await.is_err() {
--- a/crates/citronway/src/gateway/traffic/state/phase.rs
+++ b/crates/citronway/src/gateway/traffic/state/phase.rs
@@ -1,23 +1,23 @@
-//! How far an instance has come in stopping.
+//! Phases of an instance's stop.
 
-/// Whether the instance is to stop, as `control` tells the traffic.
+/// Whether the instance is to stop; published by `control`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stop {
-    /// It goes on.
+    /// The instance keeps running.
     No,
-    /// It has to have ended when its grace has passed.
+    /// The instance has to end within its grace.
     Within {
-        /// The grace, in milliseconds, as the settings had it when the signal came.
+        /// The grace in the settings when the signal arrived, in milliseconds.
         grace_ms: u64,
     },
 }
 
-/// How far the instance has come in stopping.
+/// Phase of the instance's stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::gateway::traffic) enum Phase {
-    /// It takes requests; it may have been told to stop.
+    /// Requests are accepted; a stop may have been requested.
     Serving,
-    /// Idle connections end, and no more requests are taken.
+    /// Idle connections are closed, and no more requests are accepted.
     Closing,
     /// Each request that has no answer gets one now.
     Ending,
--- a/crates/citronway/src/gateway/traffic/suspicion.rs
+++ b/crates/citronway/src/gateway/traffic/suspicion.rs
@@ -1,4 +1,4 @@
-//! Whether a request's work crashes endpoints, and what its try adds to that.
+//! Detects work that crashes endpoints, and keeps it from being sent again.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,19 +18,20 @@
 use crate::clock;
 use crate::gateway::http_link::Listening;
 
-/// What a look at an endpoint shows after its connection broke.
+/// Result of probing an endpoint after its connection broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CrashCheck {
-    /// It has not crashed, or nothing is known.
+    /// The endpoint has not crashed, or its state is unknown.
     NotCrashed,
-    /// It crashed while it had the work.
+    /// The endpoint crashed while it had the work.
     Crashed,
-    /// The same, and another endpoint did before.
+    /// The endpoint crashed while it had the work, as another endpoint did before.
     CrashedAgain,
 }
 
 impl Forwarding<'_> {
-    /// What this try has in common with others of the same work; none while no key is known.
+    /// Fingerprint that this request shares with other requests for the same work; `None` while
+    /// no fingerprint key is known.
     pub(super) fn fingerprint(&self) -> Option<Fingerprint> {
         if let Some(known) = self.work.get() {
             return Some(*known);
@@ -57,9 +58,9 @@
         Some(work.fingerprint(&key))
     }
 
-    /// The fingerprint of this work if it is refused.
+    /// The fingerprint of this work if it is refused as harmful.
     pub(super) fn harmful_work(&self, now: Mono) -> Option<Fingerprint> {
-        let known = self.known();
+        let known = self.known_work();
         if known.refused.is_empty() {
             return None;
         }
@@ -67,11 +68,12 @@
             .filter(|work| known.is_refused(now, *work))
     }
 
-    fn known(&self) -> Arc<CrashSnapshot> {
+    fn known_work(&self) -> Arc<CrashSnapshot> {
         Arc::clone(&self.state.view.borrow().crashes)
     }
 
-    /// Ends a try of harmful work: it has not run, unless an earlier send of it may have.
+    /// Outcome of a request whose work is harmful: it has not run, unless an earlier send of it
+    /// may have.
     pub(super) fn refuse_harmful(&self, work: Fingerprint) -> Outcome {
         if self.may_have_run_at.is_empty() {
             return Outcome::Harmful(work);
@@ -79,11 +81,11 @@
         Outcome::Unknown(UnknownOutcomeReason::Crashed, "endpoints that run it crash")
     }
 
-    /// Tells a crash of the endpoint from a connection that was cut.
+    /// Checks whether the endpoint crashed or only the connection was cut.
     ///
-    /// One that has said that it leaves may end at any time. Work that was under suspicion
-    /// before this crash is not sent again by this try: it costs an endpoint, and all that
-    /// runs there, if the suspicion is right.
+    /// An endpoint that has announced its stop may end at any time, which is no crash. Work
+    /// that was under suspicion before this crash is not sent again by this request: if the
+    /// suspicion is right, that costs another endpoint and everything that runs there.
     pub(super) async fn check_for_crash(&mut self, choice: &Choice) -> CrashCheck {
         let listening = self.state.listener_probes.probe(choice).await;
         let Some(work) = self.fingerprint().filter(|_| listening == Listening::No) else {
@@ -101,25 +103,24 @@
             let endpoint = EndpointTag::of(endpoint);
             trial.finish(TrialEnd::Crashed { endpoint });
         }
-        if self.known().is_suspect(work) {
+        if self.known_work().is_suspect(work) {
             CrashCheck::CrashedAgain
         } else {
             CrashCheck::Crashed
         }
     }
 
-    /// Takes a trial where the work is under suspicion; a refusal if another copy is being
-    /// tried.
+    /// Requests a trial if the work is under suspicion. Returns a refusal if another copy is
+    /// being tried.
     ///
-    /// Failure guarded against: copies of harmful work gather while their key has no owner,
-    /// all reach the next one in the same moment, and each of them is a send that a crash
-    /// ends.
+    /// Failure guarded against: copies of harmful work gather while their key has no owner, all
+    /// reach the next owner at the same moment, and a crash ends each of these sends.
     pub(super) async fn request_trial(&mut self) -> Option<Refusal> {
         let work = self.suspect_work()?;
         let number = self.state.next_ticket();
         let limit_ms = self.job.deadline.since(clock::mono());
         let state = Rc::clone(self.state);
-        // Dropped without a grant, it gives back what a late one took.
+        // Dropping this without a grant returns a grant that arrives late.
         let trial = Trial {
             state,
             number,
@@ -148,7 +149,7 @@
 
     /// The fingerprint of this work if it was at an endpoint that crashed.
     fn suspect_work(&self) -> Option<Fingerprint> {
-        let known = self.known();
+        let known = self.known_work();
         if known.suspects.is_empty() && !self.has_crashed {
             return None;
         }
@@ -156,12 +157,12 @@
         (self.has_crashed || known.is_suspect(work)).then_some(work)
     }
 
-    /// Clears work that was under suspicion: an endpoint ran it to its end.
+    /// Clears work that was under suspicion, because an endpoint ran it to its end.
     pub(super) fn clear_suspicion(&mut self) {
         if let Some(trial) = self.trial.take() {
             trial.finish(TrialEnd::Answered);
         }
-        let known = self.known();
+        let known = self.known_work();
         if known.suspects.is_empty() {
             return;
         }
--- a/crates/citronway/src/gateway/traffic/trial.rs
+++ b/crates/citronway/src/gateway/traffic/trial.rs
@@ -1,4 +1,5 @@
-//! Trials of work under suspicion, as the traffic asks for them.
+//! Trials of work under suspicion: queries and results that the traffic thread sends to
+//! `control`.
 
 use std::rc::Rc;
 
@@ -7,38 +8,38 @@
 
 use super::state::State;
 
-/// What the traffic asks or tells `control` about trials.
+/// Message to `control` about a trial.
 #[derive(Debug)]
 pub enum TrialEvent {
-    /// May a copy be sent?
+    /// Asks whether a copy of the work may be sent.
     Request(TrialQuery),
-    /// A copy that was granted is done.
+    /// A copy whose trial was granted has ended.
     Ended {
-        /// Number of the request for it.
+        /// Number of the query for the trial.
         number: u64,
         /// Work that was tried.
         work: Fingerprint,
-        /// How it ended.
+        /// How the trial ended.
         end: TrialEnd,
     },
 }
 
-/// A request for a trial.
+/// A query for a trial.
 #[derive(Debug)]
 pub struct TrialQuery {
-    /// Its number within the process.
+    /// Number of the query, unique within the process.
     pub number: u64,
-    /// Work that is to be tried.
+    /// Work to be tried.
     pub work: Fingerprint,
-    /// Time after which it is most likely done, in milliseconds.
+    /// Time after which the work is most likely done, in milliseconds.
     pub expected_ms: u64,
-    /// Time after which its caller no longer waits, in milliseconds.
+    /// Time after which the caller no longer waits, in milliseconds.
     pub limit_ms: u64,
-    /// Takes the answer.
+    /// Receives the answer.
     pub reply: oneshot::Sender<TrialGrant>,
 }
 
-/// A trial that was granted; it ends with this.
+/// Guard of a granted trial; reports its end when dropped.
 #[derive(Debug)]
 pub(super) struct Trial {
     pub state: Rc<State>,
@@ -48,7 +49,7 @@
 }
 
 impl Trial {
-    /// Ends it with an outcome.
+    /// Ends the trial with a result.
     pub(super) fn finish(mut self, end: TrialEnd) {
         self.end = end;
     }
