--- a/crates/citronway/src/gateway/traffic/cold.rs
+++ b/crates/citronway/src/gateway/traffic/cold.rs
@@ -36,7 +36,7 @@
     ///
     /// Failure guarded against: an endpoint has just started, each instance sends it as many
     /// requests as it could serve when warm, and it crashes.
-    pub(super) async fn request_cold_send(&self, choice: &Choice) -> bool {
+    pub(super) async fn admit_cold_send(&self, choice: &Choice) -> bool {
         let now = clock::mono();
         let endpoint = &choice.endpoint;
         let Some(per_s) = self.state.cold_per_s(now, &self.job.service, endpoint) else {
--- a/crates/citronway/src/gateway/traffic/forwarding.rs
+++ b/crates/citronway/src/gateway/traffic/forwarding.rs
@@ -133,10 +133,10 @@
             if let Some(work) = self.harmful_work(placed) {
                 return self.refuse_harmful(work);
             }
-            if let Some(refusal) = self.request_trial().await {
+            if let Some(refusal) = self.admit_trial().await {
                 return self.refuse(refusal);
             }
-            if !self.request_cold_send(&choice).await {
+            if !self.admit_cold_send(&choice).await {
                 drop(in_flight);
                 if !self.has_time(clock::mono()) {
                     return self.refuse_with(RefusalReason::Overloaded);
@@ -192,7 +192,7 @@
             NotSentCause::NoConnection => self.state.record_unreachable(&choice.endpoint),
             NotSentCause::Reset => {
                 self.state.record_reset(&choice.endpoint);
-                self.record_full(choice);
+                self.record_no_room(choice);
             }
         }
     }
@@ -212,7 +212,7 @@
         match doubt {
             Doubt::Broken => {
                 self.state.record_reset(&choice.endpoint);
-                self.record_full(&choice);
+                self.record_no_room(&choice);
             }
             Doubt::Foreign | Doubt::NoAnswer | Doubt::Truncated => {
                 self.state.record_failure(&choice.endpoint);
@@ -293,7 +293,7 @@
             (AnswerKind::Misdirected, None) => self.state.record_gone(&choice.endpoint),
             (AnswerKind::Full, _) => {
                 self.state.record_failure(&choice.endpoint);
-                self.record_full(choice);
+                self.record_no_room(choice);
             }
             _ => self.state.record_failure(&choice.endpoint),
         }
@@ -301,7 +301,7 @@
 
     /// Records that an endpoint had no room, if any endpoint of its service could run the
     /// request.
-    fn record_full(&self, choice: &Choice) {
+    fn record_no_room(&self, choice: &Choice) {
         if choice.fence.is_none() {
             self.state.record_full(&self.job);
         }
--- a/crates/citronway/src/gateway/traffic/sent.rs
+++ b/crates/citronway/src/gateway/traffic/sent.rs
@@ -75,8 +75,8 @@
             let status = answer.status.as_u16();
             log::info!(request, endpoint:%, fence, sends, status, ms; "endpoint answered");
         }
-        SendResult::Refused(kind) => {
-            let refusal = format!("{kind:?}");
+        SendResult::Refused(meaning) => {
+            let refusal = format!("{meaning:?}");
             log::info!(request, endpoint:%, fence, sends, refusal; "endpoint did not run it");
         }
         SendResult::TooLate => {
--- a/crates/citronway/src/gateway/traffic/suspicion.rs
+++ b/crates/citronway/src/gateway/traffic/suspicion.rs
@@ -115,7 +115,7 @@
     ///
     /// Failure guarded against: copies of harmful work gather while their key has no owner, all
     /// reach the next owner at the same moment, and a crash ends each of these sends.
-    pub(super) async fn request_trial(&mut self) -> Option<Refusal> {
+    pub(super) async fn admit_trial(&mut self) -> Option<Refusal> {
         let work = self.suspect_work()?;
         let number = self.state.next_ticket();
         let limit_ms = self.job.deadline.since(clock::mono());
--- a/crates/citronway/tests/gateway_crashes.rs
+++ b/crates/citronway/tests/gateway_crashes.rs
@@ -13,34 +13,36 @@
 /// A request that may be repeated and crashes endpoints.
 const GET_BAD: &str = "GET /status/bad";
 
-/// Crashes after which a request is known to be harmful.
+/// Number of crashes after which work is classified as harmful.
 const KNOWN_AFTER: usize = 3;
 
-/// Time in which all instances are to know it, and tries that are allowed after it.
+/// Time within which all instances learn that work is harmful, and number of sends allowed
+/// after it.
 const KNOWN_WITHIN: Duration = Duration::from_secs(3);
 const ALLOWED_AFTER: usize = 3;
 
 /// Time from the start of a request to the crash that it causes.
-const FUSE: Duration = Duration::from_millis(700);
+const CRASH_DELAY: Duration = Duration::from_millis(700);
 
-/// Work that outlasts the test.
+/// Work that takes longer than the test.
 const ENDLESS: Duration = Duration::from_mins(1);
 
-/// Instances that are too many for all to tell all.
+/// Number of instances above which not all instances report to each other directly.
 const MANY: usize = 14;
 
 fn two_instances(deployment: &Deployment) -> [Instance; 2] {
     ["one", "two"].map(|name| deployment.ready_instance(name))
 }
 
-/// Callers of a deployment lost their answers again and again: one caller's request ended the
-/// process of each endpoint that began it, and all that ran there with it. It came again under
-/// another id, at another instance in another availability zone, by another address, and was
-/// sent again, long after it had crashed three.
-/// Cause: limits counted sends of one id and of a service, and nothing outlived a try; so each
-/// instance took each try for new work. Evidence: the broken sends of three crashes in a row,
-/// at different instances, have one fingerprint in common, and each try is sent without a look
-/// at it.
+/// Failure guarded against: callers lost their answers again and again, because one caller's
+/// request ended the process of each endpoint that ran it, and everything else that ran there.
+/// The request came again under another id, at another instance in another availability zone,
+/// from another address, and was sent to endpoints long after it had crashed three of them.
+///
+/// Cause: limits counted the sends of one id and of a service, and nothing was kept after a
+/// request ended, so each instance treated each attempt as new work. The sends that three
+/// crashes in a row broke, at different instances, have the same fingerprint, but each attempt
+/// was sent without checking it.
 #[gtest]
 fn work_that_crashes_endpoints_is_not_sent_on() {
     for start in [GET_BAD, "POST /order/bad"] {
@@ -73,8 +75,8 @@
     }
 }
 
-/// The same where keys are divided: the work comes to another owner of its key after each crash,
-/// once the hold of the one before has ended.
+/// Where keys are divided, the work reaches another owner of its key after each crash, once the
+/// grant of the previous owner has expired.
 #[gtest]
 fn work_that_crashes_the_owners_of_its_key_is_not_sent_on() {
     let deployment = Deployment::new();
@@ -92,8 +94,9 @@
     }
 }
 
-/// Tries of one work had nothing in common in the logs, and a crash of an endpoint looked
-/// like a connection that was cut: nobody could find the request that caused the crashes.
+/// Guards against crashes that cannot be traced: in the logs, attempts of the same work had
+/// nothing in common, and a crash of an endpoint looked like a cut connection, so that the
+/// request that caused the crashes could not be found.
 #[gtest]
 fn logs_tell_which_tries_are_the_same_work_and_which_endpoint_ended() {
     let deployment = Deployment::new();
@@ -120,7 +123,7 @@
     expect_that!(seen[0], eq(&seen[1]));
 }
 
-/// Whether the store names harmful work.
+/// Whether the store has a row that names harmful work.
 fn is_stored(deployment: &Deployment) -> bool {
     let row = deployment.store.own("crashes");
     row.is_some_and(|row| row["refused"][0].is_object())
@@ -135,7 +138,7 @@
     instances
 }
 
-/// Waits until an instance knows harmful work; it refuses it then.
+/// Waits until an instance knows that the work is harmful; then the instance refuses it.
 fn until_refused(instance: &Instance, start: &str) {
     let counted = "citronway_work_judged_total{verdict=\"harmful\"}";
     until("the work is known to be harmful", || {
@@ -144,8 +147,9 @@
     expect_that!(call(instance, start, 5_000).body, eq("crashes_endpoints"));
 }
 
-/// One instance saw all crashes and is killed; then all are, and start again. What they knew
-/// was lost with them, and the work crashed three endpoints more each time.
+/// Guards against lost knowledge of harmful work: the one instance that saw all crashes is
+/// killed, then all instances are killed and restart. Without the stored row, the work crashed
+/// three more endpoints each time.
 #[gtest]
 fn what_is_known_outlives_the_instance_that_saw_it_and_the_end_of_all() {
     let deployment = Deployment::new();
@@ -167,7 +171,8 @@
     expect_that!(console.begun(BAD), eq(known));
 }
 
-/// Guards against copies that reach endpoints together once all instances have ended and started again.
+/// Guards against copies that reach endpoints together after all instances have ended and
+/// restarted.
 #[gtest]
 fn suspects_outlive_the_end_of_all_instances() {
     let deployment = Deployment::new();
@@ -191,13 +196,14 @@
     }
 }
 
-/// Guards against a crash that is seen with the last request of an instance and told to nobody.
+/// Guards against a crash that only the last request of a stopping instance shows and that is
+/// not reported.
 #[gtest]
 fn a_crash_that_ends_an_instances_last_request_is_told() {
     let deployment = Deployment::new();
     let console = Service::console(&deployment);
     for endpoint in &console.all {
-        endpoint.crash_on_after(BAD, FUSE);
+        endpoint.crash_on_after(BAD, CRASH_DELAY);
     }
     let [mut first, second] = two_instances(&deployment);
     std::thread::scope(|scope| {
@@ -211,7 +217,8 @@
     });
 }
 
-/// The store is away when the work crashes its third endpoint: nothing can be written.
+/// The store is unavailable when the work crashes its third endpoint, so nothing can be
+/// written.
 #[gtest]
 fn crashes_while_the_store_is_away_are_known_to_all() {
     let deployment = Deployment::new();
@@ -227,8 +234,8 @@
     until("it is stored", || is_stored(&deployment));
 }
 
-/// An endpoint crashes and is back under its old name. Its starts were counted as one endpoint,
-/// and the work crashed it on and on.
+/// Guards against miscounted crashes: an endpoint crashes and restarts under its old name. All
+/// its starts were counted as one endpoint, and the work kept crashing it.
 #[gtest]
 fn starts_of_one_endpoint_are_told_apart() {
     let deployment = Deployment::new();
@@ -250,7 +257,8 @@
     expect_that!(begun, eq(KNOWN_AFTER));
 }
 
-/// Endpoints break off answers while they live. None has crashed, and callers are served on.
+/// Endpoints abort answers while they keep running. None of them has crashed, and callers are
+/// still served.
 #[gtest]
 fn connections_that_are_cut_are_no_crashes() {
     let deployment = Deployment::new();
@@ -265,11 +273,11 @@
     expect_that!(console.begun("/order/1"), eq(10));
 }
 
-/// An endpoint takes connections and answers nothing, as one that is frozen or stuck. Its callers'
-/// time ends, and nothing shows that it has ended.
+/// An endpoint accepts connections and answers nothing, like a process that hangs. Its callers
+/// time out, and nothing shows that it has ended.
 #[gtest]
 fn silent_endpoints_are_no_crashes() {
-    let (deployment, _mute) = silent_deployment();
+    let (deployment, _silent) = silent_deployment();
     let instance = deployment.ready_instance("one");
     std::thread::scope(|scope| {
         let send = |id| call(&instance, "POST /order/1", id);
@@ -287,8 +295,9 @@
     expect_that!(metrics, contains_substring("citronway_crash_suspects 0"));
 }
 
-/// Endpoints say that they leave and end with the same work still running, one after the other
-/// as in a release. None has crashed, and the next one gets the work.
+/// Endpoints announce that they are draining and end while the same work still runs there, one
+/// after the other, as in a rolling release. None of them has crashed, and the next endpoint
+/// gets the work.
 #[gtest]
 fn planned_stops_are_no_crashes() {
     let deployment = Deployment::new();
@@ -306,16 +315,16 @@
             until("it has the work", || !endpoint.ran().is_empty());
             deployment.list(&endpoint, "draining");
             until("it is known to leave", || {
-                let is_told = |line: &Value| {
+                let is_draining_line = |line: &Value| {
                     line["message"] == "endpoint listed"
                         && line["endpoint"] == name.as_str()
                         && line["draining"] == true
                 };
-                logs.all().iter().any(is_told)
+                logs.all().iter().any(is_draining_line)
             });
             endpoint.crash();
             let reply = caller.join().expect("no panic");
-            // The second where its time ended first, on a machine that is held up.
+            // 504 if the caller's time ended first, on a machine under load.
             expect_that!(reply.status, any!(eq(502), eq(504)));
         });
         deployment.unlist(&endpoint);
@@ -326,10 +335,10 @@
     });
 }
 
-/// Work was refused and is mended at the endpoints. An operator removes the row, and it is
+/// The endpoints have been fixed for refused work. An operator removes the row, and the work is
 /// served again at once.
 #[gtest]
-fn an_operator_who_removes_the_row_lets_all_work_go() {
+fn an_operator_who_removes_the_row_releases_all_work() {
     let deployment = Deployment::new();
     let mut console = Service::console(&deployment);
     let instances = two_instances(&deployment);
@@ -349,9 +358,10 @@
     }
 }
 
-/// Another writer, or a later version, has left a row that cannot be read. The leader wrote its own
-/// over it once a second and was refused each time. It says so and leaves the row alone; requests
-/// are served, and the row is written when the other one is gone.
+/// Guards against repeated failing writes: another writer, or a later version, has left a row
+/// that cannot be read. The leader tried to overwrite it once a second and was refused each
+/// time. It must log the fault and leave the row alone. Requests are served, and the row is
+/// written after the unreadable one has been removed.
 #[gtest]
 fn a_row_that_cannot_be_read_is_left_alone() {
     let deployment = Deployment::new();
@@ -377,8 +387,9 @@
     });
 }
 
-/// Fourteen instances report through delegates. The work comes to another one each time, and
-/// the store is away when it crashes its third endpoint: only the leader's sums tell of it.
+/// Fourteen instances report through delegates. The work reaches another instance each time,
+/// and the store is unavailable when it crashes its third endpoint, so only the leader's totals
+/// show that it is harmful.
 #[gtest]
 fn instances_that_report_through_delegates_know_it_too() {
     let deployment = Deployment::new();
@@ -393,9 +404,9 @@
     expect_that!(console.begun(BAD), le(KNOWN_AFTER + ALLOWED_AFTER));
 }
 
-/// One instance of a large fleet saw two crashes and stands still. All others, the leader among
-/// them, are killed and start again. The one that goes on tells the next leader what it saw, and
-/// the third crash, which another instance sees, is the last.
+/// One instance of a large fleet saw two crashes and is paused. All others, including the
+/// leader, are killed and restart. The paused instance resumes and reports its crashes to the
+/// next leader, so that the third crash, seen by another instance, is the last.
 #[gtest]
 fn a_change_of_the_leader_forgets_no_crash() {
     let deployment = Deployment::new();
@@ -410,7 +421,7 @@
         GET_BAD,
         KNOWN_AFTER - 1,
     );
-    // By then all reports that repeat it have gone to those that are killed.
+    // By then all reports of the crashes have gone to instances that are then killed.
     std::thread::sleep(KNOWN_WITHIN);
     saw.pause();
     let term = || {
--- a/crates/citronway/tests/gateway_limits.rs
+++ b/crates/citronway/tests/gateway_limits.rs
@@ -1,4 +1,4 @@
-//! How long a caller's connection may stay without a whole request.
+//! Timeouts of callers' connections without a complete request.
 
 mod gateway_support;
 
@@ -9,13 +9,13 @@
 use gateway_support::{Deployment, until};
 use googletest::prelude::*;
 
-/// The limits of the configuration: for a head to come, and for an idle connection.
+/// Timeouts in the configuration, for a request head and for an idle connection.
 const HEAD_LIMIT: Duration = Duration::from_secs(3);
 const IDLE_LIMIT: Duration = Duration::from_secs(15);
 
-/// A caller sends half of a head on a new connection and nothing more. The limit for heads did
-/// not end it: the connection held its descriptor, and an instance that stopped waited for it
-/// until the end of its grace.
+/// Guards against a connection that never times out: a caller sends half of a head on a new
+/// connection and nothing more. The header timeout did not close it; the connection kept its
+/// descriptor, and a stopping instance waited for it until the end of its grace.
 #[gtest]
 fn a_first_head_that_does_not_come_in_time_ends_its_connection() {
     let deployment = Deployment::new();
@@ -31,9 +31,10 @@
     expect_that!(end, ok(eq(&0)));
 }
 
-/// A caller sends a body in a segment of its own, gets its answer and keeps the connection.
-/// The bytes of the body counted as the begin of the next head, and the connection ended by
-/// the limit for heads: a caller that used it again met the close.
+/// Guards against a wrong timeout: a caller sends a body in a segment of its own, gets its
+/// answer and keeps the connection. The bytes of the body were taken for the start of the next
+/// head, and the header timeout closed the connection: a caller that used it again ran into the
+/// close.
 #[gtest]
 fn a_connection_that_is_idle_after_a_body_ends_by_the_limit_for_idle_ones() {
     let deployment = Deployment::new();
@@ -45,7 +46,8 @@
     let head = "POST /order/1 HTTP/1.1\r\nHost: h.example\r\nX-Deadline-Ms: 3000\r\n\
         X-Request-Id: i\r\nContent-Length: 1\r\n\r\n";
     stream.write_all(head.as_bytes()).expect("it is sent");
-    // The body comes when the head was read: that the instance has it shows nowhere.
+    // The body is sent after the instance has read the head, which cannot be observed from
+    // outside.
     std::thread::sleep(Duration::from_millis(200));
     stream.write_all(b"x").expect("it is sent");
     let mut answer = Vec::new();
--- a/crates/citronway/tests/gateway_path.rs
+++ b/crates/citronway/tests/gateway_path.rs
@@ -1,4 +1,4 @@
-//! The whole path as processes: callers, instances, endpoints, a store.
+//! End-to-end tests with processes: callers, instances, endpoints and a store.
 
 mod gateway_support;
 
@@ -10,8 +10,7 @@
 use googletest::prelude::*;
 use serde_json::json;
 
-/// Keys at both ends of the key space: the first is of one endpoint, the last of the
-/// other.
+/// Keys at both ends of the key space; each of the two endpoints owns one of them.
 const KEYS: [u16; 2] = [3, 65_000];
 
 fn runs(endpoints: &[&FencedEndpoint], id: &str) -> usize {
@@ -77,8 +76,9 @@
     until("the new route serves", || call() == 200);
 }
 
-/// An operator's tool writes a configuration that is cut short, one that contradicts
-/// itself, and an old one. The one in force stays, and its routes go on serving.
+/// Guards against a bad configuration that takes effect: an operator's tool writes one that is
+/// truncated, one that contradicts itself, and an old one. The configuration in force stays,
+/// and its routes keep working.
 #[gtest]
 fn a_bad_configuration_changes_nothing() {
     let deployment = Deployment::new();
@@ -95,7 +95,7 @@
     deployment
         .store
         .put("citronway", "keys/console", &json!({"ranges": 3}));
-    // What comes after all of these is taken again.
+    // A later valid configuration is accepted again.
     deployment.configure(9, &json!([route("new", "/new/", "idempotent", "console")]));
     until("the next good one is in force", || {
         instance
@@ -137,7 +137,7 @@
     ];
     for (start, headers, body, status) in cases {
         let reply = instance.try_call(start, headers, body);
-        // An answer may be lost with the reset that follows an unread body.
+        // The reset that follows an unread body may discard the answer.
         let seen = reply.map_or(status, |reply| reply.status);
         expect_that!(seen, eq(status));
     }
@@ -145,8 +145,8 @@
     expect_that!(runs(&all, "b"), eq(0));
 }
 
-/// An endpoint runs a migration and its answer is lost. The migration must not be run
-/// again, and its caller must not be told that it has not run.
+/// Guards against repeated work: an endpoint runs a migration and its answer is lost. The
+/// migration must not run again, and its caller must not be told that it has not run.
 #[gtest]
 fn work_that_may_not_be_repeated_runs_once_when_its_answer_is_lost() {
     let deployment = Deployment::new();
@@ -203,15 +203,15 @@
     }
 }
 
-/// The store falls silent, then refuses, for longer than a grant holds. Owners keep
-/// their keys, since renewals go straight to them, and callers are served.
+/// The store first hangs and then refuses requests, for longer than a grant is valid. Owners
+/// keep their keys, because renewals are sent to them directly, and callers are served.
 #[gtest]
-fn an_outage_of_the_store_is_ridden_out() {
+fn requests_are_served_during_an_outage_of_the_store() {
     let deployment = Deployment::new();
     let instance = deployment.ready_instance("one");
     for fault in [StoreFault::Silent, StoreFault::Busy] {
         deployment.store.fail(fault);
-        // Longer than a hold of 3.5 s; the renewals are what is waited for.
+        // Longer than a grant of 3.5 s, so that keys stay only if they are renewed.
         for _ in 0..20 {
             std::thread::sleep(Duration::from_millis(200));
             let reply = instance.call("GET /look/1", "k", KEYS[1], "");
@@ -221,7 +221,7 @@
     }
     deployment.store.forget();
     deployment.configure(5, &json!([route("new", "/new/", "idempotent", "console")]));
-    until("news is taken again", || {
+    until("new rows are read again", || {
         instance
             .call_with("GET /new/1", "X-Request-Id: n\r\n", "")
             .status
@@ -229,8 +229,8 @@
     });
 }
 
-/// The leader is killed. Another instance takes the duty over and renews the same
-/// grants before they end; a key changes its owner for no reason.
+/// Guards against keys that move without a reason: the leader is killed, another instance takes
+/// over and renews the same grants before they expire.
 #[gtest]
 fn a_killed_leader_is_replaced_and_keys_stay() {
     let deployment = Deployment::new();
@@ -241,10 +241,10 @@
     until("a leader is known", || deployment.leader().is_some());
     let leader = deployment.leader().unwrap_or_default();
     let owner_before = deployment.a.holds(KEYS[0]);
-    let place = usize::from(leader == "two");
-    let mut killed = instances.remove(place);
+    let index = usize::from(leader == "two");
+    let mut killed = instances.remove(index);
     killed.kill();
-    until("another keeps", || {
+    until("another instance leads", || {
         deployment.leader().is_some_and(|now| now != leader)
     });
     until("the key is served", || {
@@ -253,8 +253,8 @@
     expect_that!(deployment.a.holds(KEYS[0]), eq(owner_before));
 }
 
-/// All instances are killed and start again with the store lost to answers: the rows
-/// say who owns what, and the owners stay.
+/// All instances are killed and restart while the store's answers are lost. The stored rows
+/// name the owners of the keys, and the owners stay the same.
 #[gtest]
 fn a_full_restart_keeps_owners() {
     let deployment = Deployment::new();
@@ -293,12 +293,12 @@
     });
     expect_that!(reply.status, eq(200));
     expect_that!(reply.header("connection"), some(eq("close")));
-    until("the balancer is told", || !instance.is_ready());
+    until("the instance is not ready", || !instance.is_ready());
     until("the process ends", || instance.ended() == Some(0));
 }
 
-/// Whoever collects the logs has stopped reading. The pipe fills up after some hundred
-/// lines; requests are answered all the same.
+/// Guards against requests that block on logging: the process that collects the logs has
+/// stopped reading. The pipe is full after some hundred lines, and requests are still answered.
 #[gtest]
 fn logs_that_nobody_reads_stop_no_request() {
     let deployment = Deployment::new();
@@ -310,7 +310,8 @@
     }
 }
 
-/// An engineer on call wants to know which class waits and which is slow at its endpoint.
+/// An operator needs to see which class of requests waits and which one is slow at its
+/// endpoint.
 #[gtest]
 fn metrics_tell_classes_and_outcomes_apart() {
     let deployment = Deployment::new();
@@ -322,7 +323,7 @@
     let order = instance.call_with("POST /order/1", "X-Request-Id: m2\r\n", "x");
     expect_that!(order.status, eq(200));
     expect_that!(instance.call("GET /nowhere/1", "m3", 1, "").status, eq(404));
-    // Gauges are set ten times a second.
+    // Gauges are updated ten times a second.
     until("nothing is in flight", || {
         instance.metrics().contains("citronway_in_flight 0")
     });
@@ -340,16 +341,16 @@
     expect_that!(series, lt(150));
 }
 
-/// A configuration of two thousand routes takes longer over a slow link than a call of
-/// the store used to be given. The call was begun anew each time, and the configuration
-/// before it stayed in force for good.
+/// Guards against a configuration that is never loaded: one of two thousand routes takes longer
+/// over a slow link than the timeout of a call of the store. Each call was restarted from the
+/// beginning, and the previous configuration stayed in force for good.
 #[gtest]
 fn a_large_configuration_comes_over_a_slow_link() {
     let deployment = Deployment::new();
     let link = Proxy::start(deployment.store.address()).expect("a link");
     let instance = deployment.instance_behind("one", link.address);
     until("the instance is ready", || instance.is_ready());
-    // Each 16 KB take this long, so that the whole takes two seconds.
+    // Each 16 KB are delayed by this time, so that the whole takes two seconds.
     link.set(Mode::Delay(Duration::from_millis(80)));
     let many = (0..2_000).map(|n| {
         route(
--- a/crates/citronway/tests/gateway_soak.rs
+++ b/crates/citronway/tests/gateway_soak.rs
@@ -1,45 +1,48 @@
-//! Real instances under faults drawn from a seed; see `citronway_standin::soak`.
+//! Soak tests: real instances under faults drawn from a seed; see `citronway_standin::soak`.
 //!
-//! Three parts: seeds that once failed, a few seeds that nobody has seen, and, by hand,
-//! those named in `CITRONWAY_SOAK` as `FIRST..LAST`, with as many instances as
-//! `CITRONWAY_SOAK_INSTANCES` says and with the program that `CITRONWAY_SOAK_PROGRAM` names.
+//! There are three kinds of seeds: seeds that failed before, some new seeds in each run, and,
+//! on request, those given in `CITRONWAY_SOAK` as `FIRST..LAST`, with the number of instances
+//! in `CITRONWAY_SOAK_INSTANCES` and the program in `CITRONWAY_SOAK_PROGRAM`.
 
 use std::path::PathBuf;
 
 use citronway_standin::soak::{Soak, Soaked, run};
 use googletest::prelude::*;
 
-/// Seeds that failed once, each with its cause in a line.
+/// Seeds that failed before, each with its cause.
 const REGRESSIONS: [Soak; 4] = [
-    // An endpoint that said it leaves and stayed was refused its own keys for good.
+    // An endpoint that had announced its stop and then stayed was refused its own keys for
+    // good.
     Soak::of(1_010),
-    // A start took a renewal that was meant for the one before it at its address; its keys
-    // had gone to another at once, and both held them.
+    // A new start of an endpoint accepted a renewal meant for the previous start at its
+    // address. Its keys had already been granted to another endpoint, and both held them.
     Soak::of(1_015),
-    // As 1010.
+    // Same cause as seed 1010.
     Soak::of(1_021),
-    // An instance that was paused while it stopped ended without its answers when it went on.
+    // An instance that was paused while it stopped ended without sending its answers when it
+    // resumed.
     Soak::with_signals(202),
 ];
 
-/// Seeds that are always played.
+/// Seeds that are always run.
 const FIXED: [u64; 2] = [1, 2];
 
-/// The same with signals in series. Both fail if requests have no answer when their
-/// instance ends, and if what an endpoint has is told not to have run.
+/// Seeds that are always run, with series of signals. Both fail if requests have no answer when
+/// their instance ends, or if a request that an endpoint has is reported as not run.
 const FIXED_SIGNALS: [u64; 2] = [204, 210];
 
-/// A seed that is always played with so many instances that they report through delegates.
+/// A seed that is always run, with enough instances that they report through delegates.
 const FIXED_MANY: (u64, usize) = (500, 30);
 
-/// Seeds that are always played with work that crashes endpoints. Both fail if it is sent on.
+/// Seeds that are always run, with work that crashes endpoints. Both fail if that work is still
+/// sent after it is known to be harmful.
 const FIXED_HARMFUL: [u64; 2] = [700, 701];
 
-/// A seed by which harmful work is sent on too often after its faults.
-const OPEN_HARMFUL: u64 = 17_491_828_606_783_865_653;
+/// A seed with which harmful work was sent too often after its faults.
+const COPIES_SEED: u64 = 17_491_828_606_783_865_653;
 
-/// Seeds that nobody has seen, in each run.
-const FRESH: u64 = 3;
+/// Number of new seeds in each run.
+const NEW_SEEDS: u64 = 3;
 
 fn soak(soak: Soak) -> Soaked {
     let program = std::env::var_os("CITRONWAY_SOAK_PROGRAM")
@@ -59,15 +62,15 @@
     soaked
 }
 
-fn expect_kept(soaked: &Soaked) {
-    let broken: Vec<_> = soaked
+fn expect_no_violations(soaked: &Soaked) {
+    let violations: Vec<_> = soaked
         .violations
         .iter()
         .take(8)
         .map(ToString::to_string)
         .collect();
     expect_that!(
-        broken,
+        violations,
         is_empty(),
         "{:?}, logs {:?}, {:#?}",
         soaked.soak,
@@ -78,45 +81,46 @@
 
 #[gtest]
 fn seeds_that_failed_once_keep_all_promises() {
-    for played in REGRESSIONS {
-        expect_kept(&soak(played));
+    for soak_run in REGRESSIONS {
+        expect_no_violations(&soak(soak_run));
     }
 }
 
 #[gtest]
 fn known_seeds_keep_all_promises() {
     for seed in FIXED {
-        expect_kept(&soak(Soak::of(seed)));
+        expect_no_violations(&soak(Soak::of(seed)));
     }
     for seed in FIXED_SIGNALS {
-        expect_kept(&soak(Soak::with_signals(seed)));
+        expect_no_violations(&soak(Soak::with_signals(seed)));
     }
     for seed in FIXED_HARMFUL {
-        expect_kept(&soak(Soak::with_harmful(seed)));
+        expect_no_violations(&soak(Soak::with_harmful(seed)));
     }
 }
 
-/// Thirty instances are stopped, paused and killed in series, delegates and leaders among
-/// them, while the store and endpoints fail.
+/// Thirty instances, including delegates and leaders, are stopped, paused and killed in series
+/// while the store and endpoints fail.
 #[gtest]
 fn many_instances_keep_all_promises() {
     let (seed, instances) = FIXED_MANY;
-    let mut played = Soak::with_signals(seed);
-    played.instances = instances;
-    expect_kept(&soak(played));
+    let mut soak_run = Soak::with_signals(seed);
+    soak_run.instances = instances;
+    expect_no_violations(&soak(soak_run));
 }
 
-/// Guards against copies at all instances that crash endpoints again once the faults are over.
+/// Guards against copies at all instances that crash endpoints again after the faults have
+/// ended.
 #[gtest]
 fn copies_of_harmful_work_are_few_after_faults() {
-    expect_kept(&soak(Soak::with_harmful(OPEN_HARMFUL)));
+    expect_no_violations(&soak(Soak::with_harmful(COPIES_SEED)));
 }
 
 #[gtest]
 fn fresh_seeds_keep_all_promises() {
     let base = uuid::Uuid::new_v4().as_u64_pair().0;
-    for n in 0..FRESH {
-        expect_kept(&soak(Soak::with_harmful(base.wrapping_add(n))));
+    for n in 0..NEW_SEEDS {
+        expect_no_violations(&soak(Soak::with_harmful(base.wrapping_add(n))));
     }
 }
 
@@ -129,10 +133,10 @@
     let first: u64 = first.parse().expect("a number");
     let last: u64 = last.parse().expect("a number");
     for seed in first..=last {
-        let mut played = Soak::with_harmful(seed);
+        let mut soak_run = Soak::with_harmful(seed);
         if let Ok(instances) = std::env::var("CITRONWAY_SOAK_INSTANCES") {
-            played.instances = instances.parse().expect("a number");
+            soak_run.instances = instances.parse().expect("a number");
         }
-        expect_kept(&soak(played));
+        expect_no_violations(&soak(soak_run));
     }
 }
--- a/crates/citronway/tests/gateway_support/crashing.rs
+++ b/crates/citronway/tests/gateway_support/crashing.rs
@@ -1,4 +1,4 @@
-//! Endpoints that crash by a request, and callers that repeat it.
+//! Endpoints that crash when they run a certain request, and callers that repeat it.
 
 use std::net::Ipv4Addr;
 
@@ -9,13 +9,13 @@
 /// End of the path of a request that crashes endpoints.
 pub const BAD: &str = "bad";
 
-/// Endpoints of a service: a crashed one has its successor at once.
+/// Number of endpoints of a service; a crashed one is replaced at once.
 pub const ENDPOINTS: usize = 3;
 
-/// Key of all requests; it has a meaning where keys are divided.
+/// Key of all requests; it is used only where keys are divided.
 pub const KEY: u16 = 3;
 
-/// The endpoints of a service, those that have crashed too.
+/// The endpoints of a service, including those that have crashed.
 pub struct Service<'a> {
     pub deployment: &'a Deployment,
     pub name: &'static str,
@@ -57,7 +57,7 @@
         self.all.push(endpoint);
     }
 
-    /// Starts an endpoint for each that has crashed and is still listed.
+    /// Unlists crashed endpoints and starts a new one for each.
     pub fn replace_crashed(&mut self) {
         let crashed = |e: &&FencedEndpoint| e.has_crashed();
         let lost = self.all.iter().filter(crashed).count();
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Times that a request was begun whose path ends so.
+    /// Number of runs of requests whose path has this end.
     pub fn begun(&self, path_end: &str) -> usize {
         let runs = self.all.iter().flat_map(FencedEndpoint::ran);
         runs.filter(|ran| ran.what.ends_with(path_end)).count()
     }
 }
 
-/// Sends a request by one of several addresses of the caller.
+/// Sends a request from one of several source addresses.
 pub fn call(instance: &Instance, start: &str, id: usize) -> Reply {
     let name = start.replace(' ', "-");
     let headers = format!("X-Request-Id: {name}-{id}\r\nX-Shard-Key: {KEY}\r\n");
@@ -85,8 +85,8 @@
     exchange_from(source, instance.callers, &head).expect("an answer")
 }
 
-/// Sends work that crashes endpoints, one try after the other at all instances in turn, each
-/// under an id of its own, until it has crashed so many.
+/// Sends work that crashes endpoints until it has caused this number of crashes: one request
+/// after the other, at all instances in turn, each under its own id.
 pub fn crash(service: &mut Service<'_>, instances: &[Instance], start: &str, crashes: usize) {
     let enough = service.begun(BAD) + crashes;
     let mut id = 0;
--- a/crates/citronway/tests/gateway_support/mod.rs
+++ b/crates/citronway/tests/gateway_support/mod.rs
@@ -19,25 +19,25 @@
 
 pub use citronway_standin::shared::route;
 
-/// Bound of every wait, far above what a passing test needs.
-const PATIENCE: Duration = Duration::from_secs(40);
+/// Timeout of every wait, far above what a passing test needs.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Time that a caller states to wait, in milliseconds.
+/// Wait that a caller states, in milliseconds.
 pub const WAIT_MS: u64 = 5_000;
 
-/// Port of the metrics, as the deploy file states it.
+/// Port of the metrics, as in the deploy file.
 const METRICS_PORT: u16 = 9_464;
 
-/// Waits until something holds.
+/// Polls until a condition holds, and panics after [`WAIT_TIMEOUT`].
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "not in time: {what}");
+        assert!(Instant::now() < end, "timed out: {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Store and endpoints: `a` and `b` divide the keys of `batch`, `c` serves `console`.
+/// A store and endpoints: `a` and `b` divide the keys of `batch`, `c` serves `console`.
 pub struct Deployment {
     pub store: SharedStore,
     pub a: FencedEndpoint,
@@ -47,7 +47,7 @@
 }
 
 impl Deployment {
-    /// Starts store and endpoints, which list themselves; no configuration yet.
+    /// Starts the store and the endpoints, which are listed; there is no configuration yet.
     pub fn unconfigured() -> Self {
         let folder = std::env::temp_dir().join(format!("citronway-{}", uuid::Uuid::new_v4()));
         std::fs::create_dir_all(&folder).expect("a folder for settings");
@@ -64,7 +64,7 @@
         deployment
     }
 
-    /// The same with the first configuration.
+    /// Starts the store and the endpoints, and writes the first configuration.
     pub fn new() -> Self {
         let deployment = Self::unconfigured();
         deployment.configure(2, &json!([]));
@@ -76,12 +76,12 @@
             .put("servers", endpoint.name(), &endpoint.entry(state));
     }
 
-    /// Takes the entry of an endpoint out.
+    /// Removes the row of an endpoint.
     pub fn unlist(&self, endpoint: &FencedEndpoint) {
         self.store.remove("servers", endpoint.name());
     }
 
-    /// Writes a configuration: routes to both services, and those given.
+    /// Writes a configuration with routes to both services and the given routes.
     pub fn configure(&self, version: u64, more: &Value) {
         let written = configuration(version, more);
         self.store.put("op", "config", &written);
@@ -94,12 +94,12 @@
         instance
     }
 
-    /// Starts an instance whose logs nobody reads.
+    /// Starts an instance whose logs go to a pipe that is not read.
     pub fn instance_with_piped_logs(&self, name: &str) -> Instance {
         self.start(name, self.store.address(), Stdio::piped())
     }
 
-    /// Starts an instance whose settings are there with its logs in a pipe.
+    /// Starts an instance from its existing settings file, with its logs in a pipe.
     pub fn start_again(&self, name: &str, before: &Instance) -> Instance {
         Instance {
             name: name.to_owned(),
@@ -119,7 +119,7 @@
         self.start(name, self.store.address(), Stdio::null())
     }
 
-    /// Writes another grace into the settings of an instance, in seconds.
+    /// Changes the grace in the settings of an instance, in seconds.
     pub fn set_grace(&self, name: &str, seconds: u64) {
         let path = self.settings_of(name);
         let text = std::fs::read_to_string(&path).expect("settings can be read");
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Starts a killed instance again with the settings that it had.
+    /// Restarts a killed instance with the same settings.
     pub fn restart(&self, instance: &mut Instance) {
         instance.process = self.spawn(&instance.name, Stdio::null());
     }
@@ -159,7 +159,7 @@
             .expect("the instance starts")
     }
 
-    /// Name of the instance that keeps, as the store has it.
+    /// Name of the leader according to the store; `None` if there is none.
     pub fn leader(&self) -> Option<String> {
         let row = self.store.own("keeper")?;
         Some(row["session"]["instance"].as_str()?.to_owned())
@@ -169,7 +169,7 @@
 impl Drop for Deployment {
     fn drop(&mut self) {
         if let Err(e) = std::fs::remove_dir_all(&self.folder) {
-            eprintln!("a folder of a test stays: {e}");
+            eprintln!("cannot remove the folder of a test: {e}");
         }
     }
 }
@@ -191,7 +191,7 @@
 }
 
 impl Reply {
-    /// Value of a header, if it is there.
+    /// Value of a header, if present.
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().filter_map(|line| line.split_once(": "));
         lines
@@ -215,14 +215,14 @@
         .is_some_and(|reply| reply.status == 200)
     }
 
-    /// Its metrics, as text.
+    /// Metrics of the instance, as text; empty if it does not answer.
     pub fn metrics(&self) -> String {
         let address = SocketAddr::new(self.callers.ip(), METRICS_PORT);
         let head = "GET /metrics HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n";
         exchange(address, head, "").map_or_else(String::new, |reply| reply.body)
     }
 
-    /// Sends a request with a key and reads the answer to its end.
+    /// Sends a request with a key and reads the complete answer.
     pub fn call(&self, start: &str, id: &str, key: u16, body: &str) -> Reply {
         self.call_with(
             start,
@@ -231,12 +231,12 @@
         )
     }
 
-    /// The same with any headers.
+    /// Sends a request with the given headers and reads the complete answer.
     pub fn call_with(&self, start: &str, headers: &str, body: &str) -> Reply {
         self.try_call(start, headers, body).expect("an answer")
     }
 
-    /// The same; none if the connection ends without an answer.
+    /// Sends a request with the given headers; `None` if the connection ends without an answer.
     pub fn try_call(&self, start: &str, headers: &str, body: &str) -> Option<Reply> {
         exchange(
             self.callers,
@@ -245,7 +245,7 @@
         )
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.process.kill().expect("the process can be killed");
         self.process.wait().expect("the process has ended");
@@ -256,17 +256,17 @@
         self.signal(libc::SIGTERM);
     }
 
-    /// Tells the process that its settings have changed.
+    /// Signals the process that its settings have changed.
     pub fn hang_up(&self) {
         self.signal(libc::SIGHUP);
     }
 
-    /// Stops the process where it is, until it is resumed.
+    /// Suspends the process until it is resumed.
     pub fn pause(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a suspended process.
     pub fn resume(&self) {
         self.signal(libc::SIGCONT);
     }
@@ -278,31 +278,31 @@
         assert_eq!(sent, 0);
     }
 
-    /// Reads its logs, of an instance whose logs nobody has read, up to a message.
+    /// Reads the piped logs up to a message.
     pub fn read_log_until(&mut self, message: &str) {
-        let logs = self.process.stdout.take().expect("logs that nobody reads");
+        let logs = self.process.stdout.take().expect("logs in an unread pipe");
         let mut lines = BufReader::new(logs).lines();
         let found = lines.any(|line| line.expect("a line").contains(message));
         assert!(found, "not in the logs: {message}");
-        // The rest is read too, so that the pipe does not end.
+        // The rest is read too, so that the pipe stays open.
         std::thread::spawn(move || lines.count());
     }
 
-    /// Takes its logs, of an instance whose logs nobody has read, and reads on.
+    /// Collects the piped logs in the background.
     pub fn logs(&mut self) -> Logs {
-        let logs = self.process.stdout.take().expect("logs that nobody reads");
+        let logs = self.process.stdout.take().expect("logs in an unread pipe");
         let lines = Arc::<Mutex<Vec<Value>>>::default();
-        let kept = Arc::clone(&lines);
+        let shared = Arc::clone(&lines);
         std::thread::spawn(move || {
             for line in BufReader::new(logs).lines() {
                 let line = serde_json::from_str(&line.expect("a line")).expect("a JSON line");
-                kept.lock().expect("no panic").push(line);
+                shared.lock().expect("no panic").push(line);
             }
         });
         Logs(lines)
     }
 
-    /// Exit code, once it has ended.
+    /// Exit code; `None` while the process runs.
     pub fn ended(&mut self) -> Option<i32> {
         let status = self.process.try_wait().expect("the process can be asked");
         status.map(|status| status.code().unwrap_or(-1))
@@ -317,7 +317,7 @@
     }
 }
 
-/// Lines that an instance has written so far.
+/// Lines that an instance has logged so far.
 pub struct Logs(Arc<Mutex<Vec<Value>>>);
 
 impl Logs {
@@ -326,14 +326,14 @@
         self.0.lock().expect("no panic").clone()
     }
 
-    /// The first line with a message; waits for it.
+    /// Waits for the first line with a message and returns it.
     pub fn line(&self, message: &str) -> Value {
         let mut found = None;
         until(message, || {
             found = self.all().into_iter().find(|l| l["message"] == message);
             found.is_some()
         });
-        found.expect("it was waited for")
+        found.expect("the line was found")
     }
 }
 
@@ -345,19 +345,20 @@
     )
 }
 
-/// Sends a request on a connection of its own; none if it ends without an answer.
+/// Sends a request on its own connection; `None` if the connection ends without an answer.
 pub fn exchange(address: SocketAddr, head: &str, body: &str) -> Option<Reply> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     stream.write_all(head.as_bytes()).ok()?;
     stream.write_all(body.as_bytes()).ok()?;
     let mut text = Vec::new();
-    // A reset after the answer is the end of it too.
+    // A reset after the answer ends it too.
     let _ = stream.read_to_end(&mut text);
     parse(&text)
 }
 
-/// The same by an address of the caller's own.
+/// Sends a request from the source address `source`; `None` if the connection ends without an
+/// answer.
 pub fn exchange_from(source: Ipv4Addr, address: SocketAddr, head: &str) -> Option<Reply> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -369,14 +370,14 @@
         let mut stream = socket.connect(address).await?;
         stream.write_all(head.as_bytes()).await?;
         let mut text = Vec::new();
-        // A reset after the answer is the end of it too.
+        // A reset after the answer ends it too.
         let _ = stream.read_to_end(&mut text).await;
         Ok::<_, std::io::Error>(text)
     });
     parse(&text.ok()?)
 }
 
-/// Reads an answer; none if its head is not whole.
+/// Parses an answer; `None` if its head is incomplete.
 pub fn parse(text: &[u8]) -> Option<Reply> {
     let text = String::from_utf8_lossy(text).into_owned();
     let (head, body) = text.split_once("\r\n\r\n")?;
@@ -388,53 +389,53 @@
     })
 }
 
-/// An endpoint that takes connections and reads nothing from them.
+/// An endpoint that accepts connections and reads nothing from them.
 pub struct SilentEndpoint {
     address: SocketAddr,
-    taken: Arc<Mutex<Vec<TcpStream>>>,
+    accepted: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl SilentEndpoint {
-    /// Starts it; its thread ends with the test process.
+    /// Starts the endpoint; its thread ends with the test process.
     pub fn start() -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port");
         let address = listener.local_addr().expect("an address");
-        let taken = Arc::<Mutex<Vec<TcpStream>>>::default();
-        let kept = Arc::clone(&taken);
+        let accepted = Arc::<Mutex<Vec<TcpStream>>>::default();
+        let shared = Arc::clone(&accepted);
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                kept.lock().expect("no panic").push(stream);
+                shared.lock().expect("no panic").push(stream);
             }
         });
-        Self { address, taken }
+        Self { address, accepted }
     }
 
-    /// Connections that it has.
+    /// Number of its connections.
     pub fn connections(&self) -> usize {
-        self.taken.lock().expect("no panic").len()
+        self.accepted.lock().expect("no panic").len()
     }
 
-    /// The entry that lists it for a service.
+    /// The row that lists the endpoint for a service.
     pub fn entry(&self, service: &str) -> Value {
         json!({"service": service, "addr": self.address, "zone": "a", "version": "v1",
             "capacity": 6, "state": "ready", "warmupLeftS": 0, "seq": 1})
     }
 }
 
-/// A deployment with one endpoint for `console`, which takes connections and reads nothing,
-/// and with two routes to it that wait longer than an instance takes to stop.
+/// A deployment with one endpoint for `console`, which accepts connections and reads nothing,
+/// and with two routes to it whose timeout is longer than an instance takes to stop.
 pub fn silent_deployment() -> (Deployment, SilentEndpoint) {
     let deployment = Deployment::unconfigured();
-    let mute = SilentEndpoint::start();
+    let silent = SilentEndpoint::start();
     deployment.unlist(&deployment.c);
     deployment
         .store
-        .put("servers", "i-mute", &mute.entry("console"));
+        .put("servers", "i-mute", &silent.entry("console"));
     let mut look = route("patient-look", "/patient-look/", "idempotent", "console");
     let mut order = route("patient", "/patient/", "non_idempotent", "console");
     for route in [&mut look, &mut order] {
         route["timeoutS"] = json!(11.0);
     }
     deployment.configure(2, &json!([look, order]));
-    (deployment, mute)
+    (deployment, silent)
 }
