--- a/crates/citronway/src/gateway/run.rs
+++ b/crates/citronway/src/gateway/run.rs
@@ -138,7 +138,7 @@
         let _within = runtime.enter();
         control::Signals::listen().map_err(start("signals"))?
     };
-    let ends = control::Channels {
+    let channels = control::Channels {
         view: view_tx,
         seen: report_rx,
         trials: trials_rx,
@@ -158,7 +158,8 @@
         .name("traffic".to_owned())
         .spawn(move || traffic_thread(&traffic_cfg, view_rx, to_control, stop_rx, traffic_metrics))
         .map_err(start("traffic"))?;
-    let control = control::Control::new(cfg, own_session, path.to_owned(), ready, metrics, ends);
+    let control =
+        control::Control::new(cfg, own_session, path.to_owned(), ready, metrics, channels);
     // Each duty ends when the other one does, because the channels between them close.
     let control_result = catch_unwind(AssertUnwindSafe(|| runtime.block_on(control.run())));
     let control_result = control_result.map(|result| result.map_err(start("control")));
--- a/crates/citronway/src/gateway/traffic/asks.rs
+++ b/crates/citronway/src/gateway/traffic/asks.rs
@@ -12,8 +12,8 @@
 
 /// Timeout for the leader's answer about a cold endpoint; without an answer nothing is sent.
 ///
-/// The leader answers within a few milliseconds. A grant that arrives later
-/// would be used at another time than the one for which the leader counted it.
+/// The leader answers within a few milliseconds. A grant that arrives later would be used at
+/// another time than the one for which the leader counted it.
 const COLD_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time for which a cold endpoint receives no requests after a query about it was not answered,
--- a/crates/citronway/src/gateway/traffic/cold.rs
+++ b/crates/citronway/src/gateway/traffic/cold.rs
@@ -42,14 +42,14 @@
         let Some(per_s) = self.state.cold_per_s(now, &self.job.service, endpoint) else {
             return true;
         };
-        let patience_ms = match choice.fence {
+        let max_wait_ms = match choice.fence {
             Some(_) => OWNER_MAX_WAIT_MS,
             None => MAX_WAIT_MS,
         };
         let req = ColdRequest {
             endpoint: EndpointTag::of(endpoint),
             per_s,
-            max_wait_ms: patience_ms,
+            max_wait_ms,
         };
         let grant = self
             .state
@@ -66,7 +66,7 @@
             ColdGrant::Busy { for_ms } => {
                 let request = display_id(self.metadata.id.as_ref());
                 log::debug!(request, endpoint:%, for_ms; "cold endpoint takes no further request now");
-                self.state.record_cold_busy(endpoint, for_ms);
+                self.state.hold_back_cold(endpoint, for_ms);
                 false
             }
         }
--- a/crates/citronway/src/gateway/traffic/connection.rs
+++ b/crates/citronway/src/gateway/traffic/connection.rs
@@ -158,7 +158,7 @@
     };
     let stop_requested_at = clock::mono();
     let part = |percent| grace_ms * percent / 100;
-    state.set_end(stop_requested_at.plus(part(ANSWER_BY_PERCENT)));
+    state.limit_deadlines(stop_requested_at.plus(part(ANSWER_BY_PERCENT)));
     let closes = stop_requested_at.plus(LAME_DUCK_MS.min(part(CLOSE_AT_PERCENT)));
     while clock::mono() < closes {
         tokio::time::sleep(DRAIN_CHECK_PERIOD).await;
--- a/crates/citronway/src/gateway/traffic/forwarding.rs
+++ b/crates/citronway/src/gateway/traffic/forwarding.rs
@@ -18,7 +18,7 @@
 
 use super::open_requests::{OpenRequest, Stage};
 use super::outcome::{DEFAULT_RETRY_MS, Outcome, display_id, stopping};
-use super::sent::{Doubt, NotSentCause, SendResult, log_send};
+use super::sent::{NotSentCause, SendResult, UnknownOutcome, log_send};
 use super::state::{Phase, State};
 use super::suspicion::CrashCheck;
 use super::trial::Trial;
@@ -173,8 +173,8 @@
                     self.open.enter_stage(now, Stage::Waiting);
                     tokio::time::sleep(REFUSAL_BACKOFF).await;
                 }
-                SendResult::MayHaveRun(doubt) => {
-                    if let Some(outcome) = self.handle_uncertain(now, choice, doubt).await {
+                SendResult::MayHaveRun(unknown) => {
+                    if let Some(outcome) = self.handle_unknown_outcome(now, choice, unknown).await {
                         return outcome;
                     }
                 }
@@ -199,22 +199,24 @@
 
     /// Records that the endpoint may have run the request. Returns `None` if the request is to
     /// be sent again.
-    async fn handle_uncertain(
+    async fn handle_unknown_outcome(
         &mut self,
         now: Mono,
         choice: Choice,
-        doubt: Doubt,
+        unknown: UnknownOutcome,
     ) -> Option<Outcome> {
-        let crash_check = match doubt {
-            Doubt::Broken | Doubt::Truncated => self.check_for_crash(&choice).await,
-            Doubt::Foreign | Doubt::NoAnswer => CrashCheck::NotCrashed,
+        let crash_check = match unknown {
+            UnknownOutcome::Broken | UnknownOutcome::Truncated => {
+                self.check_for_crash(&choice).await
+            }
+            UnknownOutcome::Foreign | UnknownOutcome::NoAnswer => CrashCheck::NotCrashed,
         };
-        match doubt {
-            Doubt::Broken => {
+        match unknown {
+            UnknownOutcome::Broken => {
                 self.state.record_reset(&choice.endpoint);
                 self.record_no_room(&choice);
             }
-            Doubt::Foreign | Doubt::NoAnswer | Doubt::Truncated => {
+            UnknownOutcome::Foreign | UnknownOutcome::NoAnswer | UnknownOutcome::Truncated => {
                 self.state.record_failure(&choice.endpoint);
             }
         }
@@ -227,7 +229,7 @@
         if !self.may_run_again() || !self.may_send_again(now) {
             return Some(Outcome::Unknown(
                 UnknownOutcomeReason::Broken,
-                doubt.cause(),
+                unknown.cause(),
             ));
         }
         None
@@ -290,7 +292,7 @@
     fn record_refusal(&self, choice: &Choice, kind: AnswerKind) {
         match (kind, choice.fence) {
             (AnswerKind::Misdirected, Some(fence)) => self.state.record_not_held(&self.job, fence),
-            (AnswerKind::Misdirected, None) => self.state.record_gone(&choice.endpoint),
+            (AnswerKind::Misdirected, None) => self.state.record_replaced(&choice.endpoint),
             (AnswerKind::Full, _) => {
                 self.state.record_failure(&choice.endpoint);
                 self.record_no_room(choice);
@@ -303,7 +305,7 @@
     /// request.
     fn record_no_room(&self, choice: &Choice) {
         if choice.fence.is_none() {
-            self.state.record_full(&self.job);
+            self.state.record_rejection(&self.job);
         }
     }
 
@@ -381,20 +383,20 @@
                 AnswerKind::Full | AnswerKind::Misdirected | AnswerKind::NotRun => {
                     SendResult::Refused(kind)
                 }
-                AnswerKind::Foreign => SendResult::MayHaveRun(Doubt::Foreign),
+                AnswerKind::Foreign => SendResult::MayHaveRun(UnknownOutcome::Foreign),
             },
             Ok(Err(CallError::Reset)) => SendResult::NotSent(NotSentCause::Reset),
             Ok(Err(e)) if e.is_unsent() => SendResult::NotSent(NotSentCause::NoConnection),
             Ok(Err(CallError::Timeout)) | Err(_) if timeout_ms < left_ms => {
-                SendResult::MayHaveRun(Doubt::NoAnswer)
+                SendResult::MayHaveRun(UnknownOutcome::NoAnswer)
             }
             // The time ended while the connection was being opened.
             Ok(Err(CallError::Timeout)) | Err(_) if self.sends == sends => {
                 SendResult::NotSent(NotSentCause::NoConnection)
             }
             Ok(Err(CallError::Timeout)) | Err(_) => SendResult::TimedOut,
-            Ok(Err(CallError::Truncated(_))) => SendResult::MayHaveRun(Doubt::Truncated),
-            Ok(Err(_)) => SendResult::MayHaveRun(Doubt::Broken),
+            Ok(Err(CallError::Truncated(_))) => SendResult::MayHaveRun(UnknownOutcome::Truncated),
+            Ok(Err(_)) => SendResult::MayHaveRun(UnknownOutcome::Broken),
         }
     }
 
--- a/crates/citronway/src/gateway/traffic/mod.rs
+++ b/crates/citronway/src/gateway/traffic/mod.rs
@@ -129,7 +129,7 @@
 async fn follow_view(state: Rc<State>) {
     let mut view = state.view.clone();
     while view.changed().await.is_ok() {
-        state.apply_view();
+        state.update_view();
     }
 }
 
--- a/crates/citronway/src/gateway/traffic/sent.rs
+++ b/crates/citronway/src/gateway/traffic/sent.rs
@@ -9,7 +9,7 @@
 
 /// Why it is unknown whether a request ran.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Doubt {
+pub(super) enum UnknownOutcome {
     /// The answer belongs to another request.
     Foreign,
     /// The endpoint did not answer within its timeout, and another endpoint could run the
@@ -21,7 +21,7 @@
     Broken,
 }
 
-impl Doubt {
+impl UnknownOutcome {
     /// Cause as shown to callers and in logs.
     pub(super) const fn cause(self) -> &'static str {
         match self {
@@ -52,7 +52,7 @@
     /// No attempt was made because no time was left to work.
     TooLate,
     /// The endpoint may have run the request.
-    MayHaveRun(Doubt),
+    MayHaveRun(UnknownOutcome),
     /// The request's time ended.
     TimedOut,
 }
@@ -80,7 +80,7 @@
             log::info!(request, endpoint:%, fence, sends, refusal; "endpoint did not run it");
         }
         SendResult::TooLate => {
-            log::info!(request, endpoint:%, fence, sends; "no time left to send")
+            log::info!(request, endpoint:%, fence, sends; "no time left to send");
         }
         SendResult::NotSent(cause) => {
             let cause = match cause {
@@ -89,13 +89,13 @@
             };
             log::info!(request, endpoint:%, fence, sends, cause; "not sent");
         }
-        SendResult::MayHaveRun(doubt) => {
-            let cause = doubt.cause();
+        SendResult::MayHaveRun(unknown) => {
+            let cause = unknown.cause();
             let work = work.map_or_else(|| "-".to_owned(), |work| work.to_string());
             log::info!(request, endpoint:%, fence, sends, work, cause; "endpoint may have run it");
         }
         SendResult::TimedOut => {
-            log::info!(request, endpoint:%, fence, sends; "endpoint request timed out; it may have run")
+            log::info!(request, endpoint:%, fence, sends; "endpoint request timed out; it may have run");
         }
     }
 }
--- a/crates/citronway/src/gateway/traffic/state/mod.rs
+++ b/crates/citronway/src/gateway/traffic/state/mod.rs
@@ -196,7 +196,11 @@
         self.with_budget(service, |budget| budget.try_take(now, instances))
     }
 
-    fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut SharedRetryBudget) -> T) -> T {
+    fn with_budget<T>(
+        &self,
+        service: &ServiceName,
+        f: impl FnOnce(&mut SharedRetryBudget) -> T,
+    ) -> T {
         let mut all = self.retry_budgets.borrow_mut();
         let limit = self.retry_limit;
         f(all
@@ -273,7 +277,7 @@
     }
 
     /// Records that an endpoint of a service without keys had no room.
-    pub(super) fn record_full(&self, job: &Job) {
+    pub(super) fn record_rejection(&self, job: &Job) {
         let mut admission = self.admission.borrow_mut();
         admission.record_rejection(clock::mono(), &self.view.borrow(), &job.service);
     }
@@ -286,7 +290,7 @@
     }
 
     /// Records that another process has the endpoint's address.
-    pub(super) fn record_gone(&self, endpoint: &EndpointStart) {
+    pub(super) fn record_replaced(&self, endpoint: &EndpointStart) {
         self.admission
             .borrow_mut()
             .record_replaced(clock::mono(), endpoint);
@@ -331,7 +335,7 @@
     }
 
     /// Records that a cold endpoint takes no requests for a while.
-    pub(super) fn record_cold_busy(&self, endpoint: &EndpointStart, for_ms: u64) {
+    pub(super) fn hold_back_cold(&self, endpoint: &EndpointStart, for_ms: u64) {
         let until = clock::mono().plus(for_ms);
         self.admission.borrow_mut().hold_back_cold(endpoint, until);
     }
@@ -342,7 +346,7 @@
         admission.record_not_held(clock::mono(), &self.view.borrow(), job, fence);
     }
 
-    pub(super) fn apply_view(&self) {
+    pub(super) fn update_view(&self) {
         let now = clock::mono();
         self.admission
             .borrow_mut()
@@ -350,8 +354,8 @@
         self.decide_waiting();
     }
 
-    /// Sets when the process ends; waiting requests are refused by then.
-    pub(super) fn set_end(&self, end: Mono) {
+    /// Limits the deadlines of waiting requests to `end`, so that they end before the process does.
+    pub(super) fn limit_deadlines(&self, end: Mono) {
         self.admission.borrow_mut().limit_deadlines(end);
         self.decide_waiting();
     }
