--- a/crates/citronway/src/gateway/traffic/connection.rs
+++ b/crates/citronway/src/gateway/traffic/connection.rs
@@ -141,7 +141,7 @@
 ///
 /// Failure: the process ended 5.5 s after the signal while endpoints with long queues still had
 /// requests; the callers saw their connections close and did not know whether the requests had
-/// run. In simulations of five such days, 290 stops left 33 requests without an answer. So the
+/// run. On five test days modelled on it, 290 stops left 33 requests without an answer. So the
 /// drain has three steps: each request gets an answer, the answers are sent, then the process
 /// ends.
 ///
--- a/crates/citronway/tests/gateway_stop.rs
+++ b/crates/citronway/tests/gateway_stop.rs
@@ -9,7 +9,7 @@
 //! Cause: a stopping instance waited for the answers of endpoints until its own end, and gave
 //! no answer of its own to the requests still there.
 //!
-//! In simulations of five such days, 33 requests were left without an answer when instances
+//! On five test days modelled on it, 33 requests were left without an answer when instances
 //! ended. All 33 were at an endpoint, 15 of them after a first endpoint had answered that it
 //! does not hold the key; none waited in admission, and none had its answer in transit.
 
