--- a/crates/citronway/src/gateway/traffic/outcome.rs
+++ b/crates/citronway/src/gateway/traffic/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request ended, and the answer that its caller gets.
+//! Outcomes of requests, and the responses that callers get for them.
 
 use bytes::Bytes;
 use citronway_core::gateway::admission::{
@@ -11,36 +11,37 @@
 use http::{HeaderValue, Response, StatusCode};
 use http_body_util::Full;
 
-use super::connection::{Answering, Done};
+use super::connection::{GuardedBody, RequestGuard};
 use super::open_requests::Stage;
 use super::state::State;
 use crate::clock;
 use crate::gateway::http_link::Answer;
 use crate::gateway::metrics::{Class, OutcomeKind};
 
-/// Time to come back where nothing better is known, in milliseconds.
+/// Retry-after time where no better estimate is known, in milliseconds.
 pub(super) const DEFAULT_RETRY_MS: u64 = 200;
 
-/// How a request ended, for the caller and for the logs.
+/// Outcome of a request, for the caller and the logs.
 #[derive(Debug)]
 pub(super) enum Outcome {
     /// The endpoint's own answer.
     Answered(Answer),
-    /// It has not run and will not.
+    /// The request has not run and will not run.
     NotRun(Refusal),
-    /// The same: its work is known to crash endpoints, and coming back does not help.
+    /// The request has not run: its work is known to crash endpoints. No retry-after time is
+    /// stated because a retry would be refused too.
     Harmful(Fingerprint),
-    /// It may have run; the reason for metrics, the cause for logs and the caller.
+    /// The request may have run; the reason is for metrics, the cause for logs and the caller.
     Unknown(UnknownOutcomeReason, &'static str),
-    /// Its time ended; it may have run.
+    /// The request's time ended; it may have run.
     TimedOut,
-    /// It cannot be accepted as it is.
+    /// The request is invalid, with the status and the cause for the caller.
     Rejected(StatusCode, &'static str),
 }
 
 impl Outcome {
     /// Label for metrics.
-    const fn ended(&self) -> OutcomeKind {
+    const fn kind(&self) -> OutcomeKind {
         match self {
             Self::Answered(_) => OutcomeKind::Answered,
             Self::NotRun(refusal) => OutcomeKind::NotRun(refusal.reason),
@@ -52,12 +53,12 @@
     }
 }
 
-/// A refusal because the instance stops.
+/// A refusal because the instance is stopping.
 pub(super) const fn stopping() -> Outcome {
     not_run(RefusalReason::Stopping, STOPPING_RETRY_MS)
 }
 
-/// A refusal.
+/// A refusal of a request that has not run.
 pub(super) const fn not_run(reason: RefusalReason, retry_after_ms: u64) -> Outcome {
     Outcome::NotRun(Refusal {
         reason,
@@ -65,14 +66,17 @@
     })
 }
 
-/// The answer to an outcome.
+/// Builds the response for an outcome.
 pub(super) fn respond(
     state: &State,
     id: Option<&HeaderValue>,
     outcome: Outcome,
-    done: Done,
-) -> Response<Answering> {
-    done.open.request.reach(clock::mono(), Stage::Answering);
+    guard: RequestGuard,
+) -> Response<GuardedBody> {
+    guard
+        .open
+        .request
+        .enter_stage(clock::mono(), Stage::Answering);
     let (status, headers, body) = match outcome {
         Outcome::Answered(answer) => (
             answer.status,
@@ -81,7 +85,7 @@
         ),
         Outcome::NotRun(refusal) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            own_answer(
+            gateway_answer(
                 id,
                 status,
                 Some(refusal.retry_after_ms),
@@ -90,15 +94,15 @@
         }
         Outcome::Harmful(_) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            own_answer(id, status, None, RefusalReason::CrashesEndpoints.as_str())
+            gateway_answer(id, status, None, RefusalReason::CrashesEndpoints.as_str())
         }
-        Outcome::Unknown(_, cause) => own_answer(id, StatusCode::BAD_GATEWAY, None, cause),
-        Outcome::TimedOut => own_answer(id, StatusCode::GATEWAY_TIMEOUT, None, "timeout"),
-        Outcome::Rejected(status, cause) => own_answer(id, status, None, cause),
+        Outcome::Unknown(_, cause) => gateway_answer(id, StatusCode::BAD_GATEWAY, None, cause),
+        Outcome::TimedOut => gateway_answer(id, StatusCode::GATEWAY_TIMEOUT, None, "timeout"),
+        Outcome::Rejected(status, cause) => gateway_answer(id, status, None, cause),
     };
-    let mut response = Response::new(Answering {
+    let mut response = Response::new(GuardedBody {
         body: Full::new(body),
-        _done: done,
+        _guard: guard,
     });
     *response.status_mut() = status;
     *response.headers_mut() = headers;
@@ -109,7 +113,7 @@
     response
 }
 
-fn own_answer(
+fn gateway_answer(
     id: Option<&HeaderValue>,
     status: StatusCode,
     retry_after_ms: Option<u64>,
@@ -120,22 +124,22 @@
     (status, headers, Bytes::from_static(cause.as_bytes()))
 }
 
-/// Id of a request as logs show it.
-pub(super) fn shown_id(id: Option<&HeaderValue>) -> &str {
+/// Id of a request as shown in logs; `-` without one.
+pub(super) fn display_id(id: Option<&HeaderValue>) -> &str {
     id.and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
 
-/// Logs and counts an outcome.
-pub(super) fn note(
+/// Logs an outcome and counts it in the metrics.
+pub(super) fn record(
     state: &State,
     arrived: Mono,
     id: Option<&HeaderValue>,
     class: Class,
     outcome: &Outcome,
 ) {
-    let request = shown_id(id);
+    let request = display_id(id);
     let ms = clock::mono().since(arrived);
-    state.metrics.record_outcome(class, outcome.ended(), ms);
+    state.metrics.record_outcome(class, outcome.kind(), ms);
     match outcome {
         Outcome::Answered(answer) => {
             let status = answer.status.as_u16();
@@ -154,7 +158,7 @@
             let reason = reason.as_str();
             log::info!(request, reason, cause, ms; "may have run");
         }
-        Outcome::TimedOut => log::info!(request, ms; "timed out, may have run"),
+        Outcome::TimedOut => log::info!(request, ms; "request timed out; it may have run"),
         Outcome::Rejected(status, cause) => {
             let status = status.as_u16();
             log::info!(request, status, cause, ms; "rejected");
--- a/crates/citronway/src/gateway/traffic/sent.rs
+++ b/crates/citronway/src/gateway/traffic/sent.rs
@@ -1,31 +1,32 @@
-//! What came of one send of a request to an endpoint.
+//! Results of sending a request to an endpoint.
 
 use citronway_core::gateway::admission::Choice;
 use citronway_core::gateway::crashes::Fingerprint;
 use citronway_platform::exchange::{AnswerKind, RequestMetadata};
 
-use super::outcome::shown_id;
+use super::outcome::display_id;
 use crate::gateway::http_link::Answer;
 
-/// Why it is not known whether a request ran.
+/// Why it is unknown whether a request ran.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Doubt {
+pub(super) enum UnknownOutcome {
     /// The answer belongs to another request.
     Foreign,
-    /// The endpoint was silent for longer than another should be kept waiting.
-    Silent,
-    /// The answer broke off.
+    /// The endpoint did not answer within its timeout, and another endpoint could run the
+    /// request.
+    NoAnswer,
+    /// The answer was truncated.
     Truncated,
     /// The connection broke.
     Broken,
 }
 
-impl Doubt {
-    /// Words for logs and callers.
+impl UnknownOutcome {
+    /// Cause as shown to callers and in logs.
     pub(super) const fn cause(self) -> &'static str {
         match self {
             Self::Foreign => "the answer belongs to another request",
-            Self::Silent => "the endpoint was silent",
+            Self::NoAnswer => "the endpoint was silent",
             Self::Truncated => "the answer is not whole",
             Self::Broken => "the connection to the endpoint broke",
         }
@@ -33,63 +34,68 @@
 }
 
 /// Why nothing reached an endpoint.
-pub(super) enum Unsent {
-    /// It takes no connection.
+pub(super) enum NotSentCause {
+    /// The endpoint accepted no connection.
     NoConnection,
-    /// It took one and reset it before anything was sent.
+    /// The endpoint accepted a connection and reset it before anything was sent.
     Reset,
 }
 
-/// What came of one send.
-pub(super) enum Sent {
+/// Result of sending a request once.
+pub(super) enum SendResult {
     /// The endpoint's answer.
     Answer(Answer),
-    /// It has not run there.
+    /// The endpoint did not run the request.
     Refused(AnswerKind),
     /// Nothing reached the endpoint.
-    Nowhere(Unsent),
-    /// Nothing was tried: no time was left to work.
+    NotSent(NotSentCause),
+    /// No attempt was made because no time was left to work.
     TooLate,
-    /// It may have run there.
-    Unknown(Doubt),
-    /// The time ended.
+    /// The endpoint may have run the request.
+    MayHaveRun(UnknownOutcome),
+    /// The request's time ended.
     TimedOut,
 }
 
-/// Logs a send, `ms` after the request's arrival; `work` is told where it may have run.
+/// Logs a send and its result. `ms` is the time since the request's arrival; `work` is the
+/// fingerprint if the request may have run.
 pub(super) fn log_send(
-    words: &RequestMetadata,
+    metadata: &RequestMetadata,
     choice: &Choice,
-    sent: &Sent,
+    sent: &SendResult,
     sends: u32,
     ms: u64,
     work: Option<Fingerprint>,
 ) {
-    let request = shown_id(words.id.as_ref());
+    let request = display_id(metadata.id.as_ref());
     let endpoint = &choice.endpoint;
     let fence = choice.fence.unwrap_or_default();
     match sent {
-        Sent::Answer(answer) => {
+        SendResult::Answer(answer) => {
             let status = answer.status.as_u16();
             log::info!(request, endpoint:%, fence, sends, status, ms; "endpoint answered");
         }
-        Sent::Refused(meaning) => {
+        SendResult::Refused(meaning) => {
             let refusal = format!("{meaning:?}");
             log::info!(request, endpoint:%, fence, sends, refusal; "endpoint did not run it");
         }
-        Sent::TooLate => log::info!(request, endpoint:%, fence, sends; "no time left to send"),
-        Sent::Nowhere(cause) => {
+        SendResult::TooLate => {
+            log::info!(request, endpoint:%, fence, sends; "no time left to send");
+        }
+        SendResult::NotSent(cause) => {
             let cause = match cause {
-                Unsent::NoConnection => "no connection",
-                Unsent::Reset => "reset before anything was sent",
+                NotSentCause::NoConnection => "no connection",
+                NotSentCause::Reset => "reset before anything was sent",
             };
             log::info!(request, endpoint:%, fence, sends, cause; "not sent");
         }
-        Sent::Unknown(doubt) => {
-            let cause = doubt.cause();
+        SendResult::MayHaveRun(unknown) => {
+            let cause = unknown.cause();
             let work = work.map_or_else(|| "-".to_owned(), |work| work.to_string());
             log::info!(request, endpoint:%, fence, sends, work, cause; "endpoint may have run it");
         }
-        Sent::TimedOut => log::info!(request, endpoint:%, fence, sends; "endpoint was silent"),
+        SendResult::TimedOut => {
+            log::info!(request, endpoint:%, fence, sends; "endpoint request timed out; it may have run");
+        }
     }
 }
