--- a/crates/citronway-core/src/hold/dispatcher.rs
+++ b/crates/citronway-core/src/hold/dispatcher.rs
@@ -1,30 +1,32 @@
-//! Duties of the dispatcher: promises, its list of successors, giving away.
+//! The dispatcher role: requests promises, maintains the list of successors and
+//! hands over the role.
 
 use indexmap::{IndexMap, IndexSet};
 
+use super::dispatcher_state::{Nominee, Offer};
 use super::events::HandOverReason;
-use super::message::send;
-use super::tenure::{Nominee, Offer};
+use super::message::send_action;
 use super::{Hold, HoldAction};
 use crate::ids::{Epoch, Session};
 use crate::peer::{HoldMessage, KnownRequests};
 use crate::shard::DispatchRow;
 use crate::time::Now;
 
-/// Successors that a dispatcher keeps.
-const SUCCESSORS: usize = 2;
+/// Number of successors that a dispatcher keeps listed.
+const SUCCESSOR_COUNT: usize = 2;
 
-/// While the hold is incomplete, questions go out this many times as often.
-const HASTE: u64 = 4;
+/// Factor by which promise requests are more frequent while the dispatcher may not
+/// act.
+const FAST_ASK_FACTOR: u64 = 4;
 
-/// What to do with the list of successors.
+/// What the list of successors needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum ListNeed {
-    /// Nothing.
+    /// Nothing: it has enough successors, and all of them are responsive.
     Complete,
-    /// Bring one in.
+    /// Another successor.
     Add,
-    /// Put another in the place of one that is lost.
+    /// Another successor in place of this one, which is lost.
     Replace(Session),
 }
 
@@ -35,71 +37,81 @@
         now: Now,
         out: &mut Vec<HoldAction>,
     ) {
-        if self.left || self.tenure.as_ref().is_some_and(|it| it.offer.is_some()) {
+        if self.has_left
+            || self
+                .dispatcher_state
+                .as_ref()
+                .is_some_and(|it| it.offer.is_some())
+        {
             self.offer_tick(now, out);
             return;
         }
-        self.seal_by_read(now, out);
-        self.ask_if_due(now, out);
-        self.keep_list(candidates, now, out);
+        self.read_for_proof(now, out);
+        self.request_promises_if_due(now, out);
+        self.maintain_successors(candidates, now, out);
     }
 
-    /// Reads the row when a gone successor still needs a proof that it never acted.
-    pub(super) fn seal_by_read(&mut self, now: Now, out: &mut Vec<HoldAction>) {
-        let Some(tenure) = &self.tenure else {
+    /// Reads the row if a gone successor still needs a proof that it never acted.
+    pub(super) fn read_for_proof(&mut self, now: Now, out: &mut Vec<HoldAction>) {
+        let Some(state) = &self.dispatcher_state else {
             return;
         };
-        if self.lists().iter().any(|list| tenure.needs_proof(list)) {
-            self.read(now, out);
+        if self
+            .possible_lists()
+            .iter()
+            .any(|list| state.needs_proof(list))
+        {
+            self.read_row(now, out);
         }
     }
 
-    fn ask_if_due(&mut self, now: Now, out: &mut Vec<HoldAction>) {
+    fn request_promises_if_due(&mut self, now: Now, out: &mut Vec<HoldAction>) {
         let mut interval_ms = self.cfg.ask_interval_ms;
         if self.may_act(now).is_none() {
-            interval_ms /= HASTE;
+            interval_ms /= FAST_ASK_FACTOR;
         }
         let due = self
-            .tenure
+            .dispatcher_state
             .as_ref()
-            .is_some_and(|it| it.ask_due(now.mono, interval_ms));
+            .is_some_and(|it| it.is_round_due(now.mono, interval_ms));
         if due {
-            self.ask(now, out);
+            self.request_promises(now, out);
         }
     }
 
-    /// Asks every session whose promise counts, and the nominee.
-    fn ask(&mut self, now: Now, out: &mut Vec<HoldAction>) {
-        let lists = self.lists();
+    /// Requests a promise from every session in the lists that may be in force, and
+    /// from the nominee.
+    fn request_promises(&mut self, now: Now, out: &mut Vec<HoldAction>) {
+        let lists = self.possible_lists();
         let row_version = self.known_version();
         let duration_ms = self.cfg.promise_ms;
-        let Some(tenure) = &mut self.tenure else {
+        let Some(state) = &mut self.dispatcher_state else {
             return;
         };
-        let round = tenure.begin_round(now.mono, duration_ms);
+        let round = state.begin_round(now.mono, duration_ms);
         let mut asked: IndexSet<Session> = lists.into_iter().flatten().collect();
-        asked.extend(tenure.nominee.iter().map(|it| it.session.clone()));
-        tenure.keep_only(&asked);
+        asked.extend(state.nominee.iter().map(|it| it.session.clone()));
+        state.retain_asked(&asked);
         for session in &asked {
-            if tenure.is_absent(session) {
+            if state.is_absent(session) {
                 continue;
             }
-            tenure.asked(session, now.mono);
+            state.mark_asked(session, now.mono);
             let ask = HoldMessage::Ask {
-                epoch: tenure.epoch,
+                epoch: state.epoch,
                 row_version,
                 round,
                 duration_ms,
             };
-            out.push(send(session, ask));
+            out.push(send_action(session, ask));
         }
     }
 
-    /// Keeps the list at its size, one change at a time.
+    /// Keeps the list of successors complete, one change at a time.
     ///
-    /// Only a dispatcher that holds every promise changes the list; that write
-    /// also empties `former`, since no former dispatcher can act beside it.
-    fn keep_list(&mut self, candidates: &[Session], now: Now, out: &mut Vec<HoldAction>) {
+    /// Only a dispatcher that has every promise changes the list. That write also
+    /// empties `former`, since no former dispatcher can act at the same time.
+    fn maintain_successors(&mut self, candidates: &[Session], now: Now, out: &mut Vec<HoldAction>) {
         if self.pending.is_some() || self.may_act(now).is_none() {
             return;
         }
@@ -109,99 +121,99 @@
             return;
         }
         self.nominate(candidates, now, out);
-        let Some(nominee) = self.promising_nominee(now) else {
-            self.shrink(&need, now, out);
+        let Some(nominee) = self.nominee_with_promise(now) else {
+            self.remove_lost_successor(&need, now, out);
             return;
         };
         self.change_list(&need, Some(nominee), now, out);
     }
 
-    /// Whether the row lists as many successors as it should, all of them heard.
-    pub(super) fn list_is_complete(&self, now: Now) -> bool {
+    /// Whether the row lists enough successors and all of them are responsive.
+    pub(super) fn is_list_complete(&self, now: Now) -> bool {
         self.list_need(now) == ListNeed::Complete
     }
 
     fn list_need(&self, now: Now) -> ListNeed {
-        let (Some(known), Some(tenure)) = (&self.known, &self.tenure) else {
+        let (Some(known), Some(state)) = (&self.known, &self.dispatcher_state) else {
             return ListNeed::Complete;
         };
         let list = &known.row.successors;
         for session in list {
-            let silent = tenure.silent_ms(session, now.mono) >= self.cfg.suspicion_ms;
-            if silent || tenure.is_absent(session) {
+            let silent = state.silent_ms(session, now.mono) >= self.cfg.suspicion_ms;
+            if silent || state.is_absent(session) {
                 return ListNeed::Replace(session.clone());
             }
         }
-        if list.len() < SUCCESSORS {
+        if list.len() < SUCCESSOR_COUNT {
             return ListNeed::Add;
         }
         ListNeed::Complete
     }
 
     fn drop_nominee(&mut self) {
-        if let Some(tenure) = &mut self.tenure {
-            tenure.nominee = None;
-            tenure.passed_over.clear();
+        if let Some(state) = &mut self.dispatcher_state {
+            state.nominee = None;
+            state.unresponsive.clear();
         }
     }
 
-    /// Picks the best candidate that answers, and asks it before it is listed, so
-    /// that the change costs no moment without all promises.
+    /// Picks the best responsive candidate and requests its promise before it is
+    /// listed, so that the dispatcher has all promises also right after the change.
     fn nominate(&mut self, candidates: &[Session], now: Now, out: &mut Vec<HoldAction>) {
-        let (Some(known), Some(tenure)) = (&self.known, &mut self.tenure) else {
+        let (Some(known), Some(state)) = (&self.known, &mut self.dispatcher_state) else {
             return;
         };
-        if let Some(nominee) = &tenure.nominee {
-            let silent = now.mono.since(nominee.since) >= self.cfg.ask_interval_ms
-                && !tenure.promises(&nominee.session, now.mono);
-            if !silent && !tenure.is_absent(&nominee.session) {
+        if let Some(nominee) = &state.nominee {
+            let silent = now.mono.since(nominee.asked_since) >= self.cfg.ask_interval_ms
+                && !state.has_promise(&nominee.session, now.mono);
+            if !silent && !state.is_absent(&nominee.session) {
                 return;
             }
-            tenure.passed_over.insert(nominee.session.clone());
-            tenure.nominee = None;
+            state.unresponsive.insert(nominee.session.clone());
+            state.nominee = None;
         }
         for session in candidates {
             let listed = known.row.successors.contains(session) || *session == self.me;
-            let unfit = tenure.is_absent(session) || tenure.barred.contains(session);
-            if listed || unfit || tenure.passed_over.contains(session) {
+            let unfit = state.is_absent(session) || state.barred.contains(session);
+            if listed || unfit || state.unresponsive.contains(session) {
                 continue;
             }
-            tenure.nominee = Some(Nominee {
+            state.nominee = Some(Nominee {
                 session: session.clone(),
-                since: now.mono,
+                asked_since: now.mono,
             });
-            self.ask(now, out);
+            self.request_promises(now, out);
             return;
         }
-        tenure.passed_over.clear();
+        state.unresponsive.clear();
     }
 
-    fn promising_nominee(&self, now: Now) -> Option<Session> {
-        let tenure = self.tenure.as_ref()?;
-        let nominee = tenure.nominee.as_ref()?;
-        tenure
-            .promises(&nominee.session, now.mono)
+    fn nominee_with_promise(&self, now: Now) -> Option<Session> {
+        let state = self.dispatcher_state.as_ref()?;
+        let nominee = state.nominee.as_ref()?;
+        state
+            .has_promise(&nominee.session, now.mono)
             .then(|| nominee.session.clone())
     }
 
-    /// Removes a lost successor without a replacement, before its promise lapses.
+    /// Removes a lost successor without a replacement, before its promise expires.
     ///
-    /// A dispatcher that hears from no successor is more likely cut off itself;
-    /// it lets its hold lapse, so that one of them can take over.
-    fn shrink(&mut self, need: &ListNeed, now: Now, out: &mut Vec<HoldAction>) {
-        let (ListNeed::Replace(lost), Some(known), Some(tenure)) =
-            (need, &self.known, &self.tenure)
+    /// A dispatcher that hears from no successor is more likely cut off itself. It
+    /// lets its promises expire, so that a successor can take over.
+    fn remove_lost_successor(&mut self, need: &ListNeed, now: Now, out: &mut Vec<HoldAction>) {
+        let (ListNeed::Replace(lost), Some(known), Some(state)) =
+            (need, &self.known, &self.dispatcher_state)
         else {
             return;
         };
-        let patience_ms = self.cfg.suspicion_ms + self.cfg.ask_interval_ms;
-        let absent = tenure.is_absent(lost);
+        let removal_timeout_ms = self.cfg.suspicion_ms + self.cfg.ask_interval_ms;
+        let absent = state.is_absent(lost);
         let others = known.row.successors.iter().filter(|it| *it != lost);
         let heard = others
             .clone()
-            .any(|it| tenure.silent_ms(it, now.mono) < self.cfg.suspicion_ms);
-        let waited = tenure.silent_ms(lost, now.mono) >= patience_ms;
-        let nominated = tenure.nominee.is_some();
+            .any(|it| state.silent_ms(it, now.mono) < self.cfg.suspicion_ms);
+        let waited = state.silent_ms(lost, now.mono) >= removal_timeout_ms;
+        let nominated = state.nominee.is_some();
         if (absent && !nominated) || (waited && heard) {
             self.change_list(need, None, now, out);
         }
@@ -214,8 +226,8 @@
         now: Now,
         out: &mut Vec<HoldAction>,
     ) {
-        self.read(now, out);
-        if !self.store_answers(now) {
+        self.read_row(now, out);
+        if !self.is_store_answering(now) {
             return;
         }
         let Some(known) = &self.known else {
@@ -229,11 +241,11 @@
             row.successors.retain(|it| it != lost);
         }
         row.successors.extend(new);
-        if let Some(tenure) = &mut self.tenure {
-            tenure.lists_changed();
-            tenure.nominee = None;
+        if let Some(state) = &mut self.dispatcher_state {
+            state.mark_lists_changed();
+            state.nominee = None;
         }
-        self.write(row, now, out);
+        self.start_write(row, now, out);
     }
 
     pub(super) fn start_offer(
@@ -243,68 +255,70 @@
         now: Now,
         out: &mut Vec<HoldAction>,
     ) {
-        let Some(tenure) = &mut self.tenure else {
+        let Some(state) = &mut self.dispatcher_state else {
             return;
         };
-        if let Some(offer) = &mut tenure.offer {
+        if let Some(offer) = &mut state.offer {
             offer.reason = reason;
             return;
         }
-        tenure.offer = Some(Offer {
+        state.offer = Some(Offer {
             reason,
             known: known.clone(),
             offered: IndexMap::new(),
-            since: now.mono,
+            last_offered: now.mono,
         });
         self.offer_next(now, out);
     }
 
-    /// Offers the role to the next successor, those that promise first.
+    /// Offers the role to the next successor, first to those with an unexpired
+    /// promise.
     ///
-    /// Returns whether there was one.
+    /// Returns false if there is no further successor.
     fn offer_next(&mut self, now: Now, out: &mut Vec<HoldAction>) -> bool {
         let row_version = self.known_version();
-        let (Some(known), Some(tenure)) = (&self.known, &mut self.tenure) else {
+        let (Some(known), Some(state)) = (&self.known, &mut self.dispatcher_state) else {
             return false;
         };
         let mut order = known.row.successors.clone();
-        order.retain(|it| !tenure.is_absent(it));
-        order.sort_by_key(|it| !tenure.promises(it, now.mono));
-        let epoch = tenure.epoch;
-        let Some(offer) = &mut tenure.offer else {
+        order.retain(|it| !state.is_absent(it));
+        order.sort_by_key(|it| !state.has_promise(it, now.mono));
+        let epoch = state.epoch;
+        let Some(offer) = &mut state.offer else {
             return false;
         };
         let Some(next) = order.iter().find(|it| !offer.offered.contains_key(*it)) else {
             return false;
         };
-        offer.since = now.mono;
+        offer.last_offered = now.mono;
         offer.offered.insert(next.clone(), false);
         let handover = HoldMessage::Handover {
             epoch,
             row_version,
             known: offer.known.clone(),
         };
-        tenure.release(next);
-        out.push(send(next, handover));
+        state.discard_promise(next);
+        out.push(send_action(next, handover));
         true
     }
 
-    /// Waits for a successor to take the role, and offers it to the next one.
+    /// Waits for a successor to take the role. Offers it to the next one when all have
+    /// declined or `ask_interval_ms` has passed since the last offer.
     fn offer_tick(&mut self, now: Now, out: &mut Vec<HoldAction>) {
-        self.read(now, out);
-        let lists = self.lists();
-        let Some(tenure) = &self.tenure else {
+        self.read_row(now, out);
+        let lists = self.possible_lists();
+        let Some(state) = &self.dispatcher_state else {
             return;
         };
-        let Some(offer) = &tenure.offer else {
+        let Some(offer) = &state.offer else {
             return;
         };
         let unsettled = offer.offered.iter().any(|(session, declined)| {
             let listed = lists.iter().any(|list| list.contains(session));
-            listed && !declined && !tenure.is_absent(session)
+            listed && !declined && !state.is_absent(session)
         });
         let resumes = !unsettled && offer.reason == HandOverReason::EndpointLost;
-        if unsettled && now.mono.since(offer.since) < self.cfg.ask_interval_ms {
+        if unsettled && now.mono.since(offer.last_offered) < self.cfg.ask_interval_ms {
             return;
         }
         if !self.offer_next(now, out) && resumes {
@@ -312,25 +326,26 @@
         }
     }
 
-    /// Goes on when every successor that was offered the role has declined it, is
-    /// gone or is no longer listed.
+    /// Withdraws the offer and resumes as dispatcher. To be called only when every
+    /// successor that was offered the role has declined it, is gone or is no longer
+    /// listed.
     ///
-    /// One that has not answered may be taking over, so its silence is no word.
-    /// Failure guarded against: an offer arrives after its receiver was dropped
-    /// from the list and brought in again, and it takes a role that is in use. It
-    /// is not brought in again in this epoch.
+    /// A successor that has not answered may be taking over, so its silence does
+    /// not count as declining.
+    ///
+    /// Failure guarded against: an offer arrives late, after its receiver was
+    /// removed from the list and added again, and the receiver takes over from an
+    /// active dispatcher. Such a session is not added again in this epoch.
     fn resume(&mut self, out: &mut Vec<HoldAction>) {
-        if let Some(tenure) = &mut self.tenure {
-            let offer = tenure.offer.take();
+        if let Some(state) = &mut self.dispatcher_state {
+            let offer = state.offer.take();
             let offered = offer.map(|it| it.offered).unwrap_or_default();
             for (session, declined) in offered {
                 if !declined {
-                    tenure.barred.insert(session);
+                    state.barred.insert(session);
                 }
             }
-            out.push(HoldAction::OfferDeclined {
-                epoch: tenure.epoch,
-            });
+            out.push(HoldAction::OfferDeclined { epoch: state.epoch });
         }
     }
 
@@ -341,10 +356,14 @@
         now: Now,
         out: &mut Vec<HoldAction>,
     ) {
-        let Some(tenure) = self.tenure.as_mut().filter(|it| it.epoch == epoch) else {
+        let Some(state) = self
+            .dispatcher_state
+            .as_mut()
+            .filter(|it| it.epoch == epoch)
+        else {
             return;
         };
-        let Some(offer) = &mut tenure.offer else {
+        let Some(offer) = &mut state.offer else {
             return;
         };
         if let Some(declined) = offer.offered.get_mut(from) {
--- a/crates/citronway-core/src/hold/events.rs
+++ b/crates/citronway-core/src/hold/events.rs
@@ -1,4 +1,5 @@
-//! What happens to a hold, and what it wants done; recordable for replay.
+//! Events that a hold handles and actions that it requests, in a form that can be
+//! recorded and replayed.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,151 +10,153 @@
 use crate::shard::DispatchRow;
 use crate::time::{Now, Wall};
 
-/// Whether this instance reaches the endpoint, as its own probes tell.
+/// Whether this instance reaches the endpoint, according to its own probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointReach {
-    /// It has not tried.
+    /// Not probed yet.
     #[default]
     Unknown,
-    /// It does.
+    /// The endpoint answers the probes.
     Reached,
-    /// It does not.
+    /// The endpoint does not answer the probes.
     Lost,
 }
 
-/// Why a dispatcher gives its role away.
+/// Why a dispatcher hands over its role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HandOverReason {
-    /// The process shuts down; it takes no part afterwards.
+    /// The process shuts down; its session takes no role afterwards.
     Leaving,
-    /// It does not reach the endpoint, a successor may.
+    /// The dispatcher does not reach the endpoint, but a successor may.
     EndpointLost,
 }
 
-/// Result of a read that a hold asked for.
+/// Result of a [`HoldAction::ReadRow`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "read", rename_all = "snake_case")]
 pub enum ReadOutcome {
-    /// The row as stored.
+    /// The row exists.
     Found {
-        /// Its version.
+        /// Version of the row.
         version: Version,
-        /// Its content.
+        /// Content of the row.
         row: DispatchRow,
     },
-    /// The store answered that there is no row.
+    /// The store answered that the row does not exist.
     Absent,
-    /// No answer.
+    /// The store did not answer.
     Failed,
 }
 
-/// Something that happened to a hold.
+/// Input of a hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum HoldEvent {
-    /// See [`Hold::on_row`].
+    /// A row was read or received; see [`Hold::on_row`].
     Row {
         /// Version of the row.
         version: Version,
-        /// The row.
+        /// Content of the row.
         row: DispatchRow,
     },
-    /// See [`Hold::on_read_done`].
+    /// A read ended; see [`Hold::on_read_done`].
     ReadDone {
         /// Number of the read.
         read: u64,
-        /// Its result.
+        /// Result of the read.
         outcome: ReadOutcome,
     },
-    /// See [`Hold::on_write_done`].
+    /// A write ended; see [`Hold::on_write_done`].
     WriteDone {
         /// Number of the write.
         write: u64,
-        /// Its result.
+        /// Result of the write.
         outcome: WriteOutcome,
     },
-    /// See [`Hold::on_message`].
+    /// A message arrived; see [`Hold::on_message`].
     Message {
-        /// Sender.
+        /// Session that sent the message.
         from: Session,
-        /// The message.
+        /// Content of the message.
         message: HoldMessage,
     },
-    /// See [`Hold::on_gone`].
+    /// A session has ended for good; see [`Hold::on_gone`].
     Gone {
         /// The session that is gone.
         session: Session,
     },
-    /// See [`Hold::hand_over`].
+    /// The role is to be handed over; see [`Hold::hand_over`].
     HandOver {
-        /// Why.
+        /// Why it is handed over.
         reason: HandOverReason,
-        /// Requests the dispatcher knows.
+        /// Requests that the dispatcher knows.
         known: KnownRequests,
     },
-    /// See [`Hold::tick`].
+    /// Time has passed; see [`Hold::tick`].
     Tick {
-        /// Sessions fit for a role, best first.
+        /// Live sessions that may take a role, best first.
         candidates: Vec<Session>,
         /// Whether this instance reaches the endpoint.
         reach: EndpointReach,
     },
 }
 
-/// Something a hold wants done.
+/// Output of a hold, to be executed by its caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "snake_case")]
 pub enum HoldAction {
-    /// Send a message; it may be lost, late or out of order.
+    /// Send a message. It may be lost, delayed or reordered.
     Send {
-        /// Receiver.
+        /// Session to send it to.
         to: Session,
-        /// The message.
+        /// Content of the message.
         message: HoldMessage,
     },
-    /// Read the dispatch row; report with [`Hold::on_read_done`].
+    /// Read the dispatch row and report with [`Hold::on_read_done`].
     ReadRow {
-        /// Number for the report.
+        /// Number of the read, for the report.
         read: u64,
     },
-    /// Write the dispatch row once, without retry; report with [`Hold::on_write_done`].
+    /// Write the dispatch row once, without retry, and report with
+    /// [`Hold::on_write_done`].
     Write {
-        /// Number for the report.
+        /// Number of the write, for the report.
         write: u64,
         /// Version that the stored row must have, 0 if it must not exist.
         expected: Version,
-        /// New content.
+        /// New content of the row.
         row: DispatchRow,
     },
-    /// This session is the row's dispatcher. It still acts only while
-    /// [`Hold::may_act`] says so.
+    /// The row names this session as dispatcher. It may act only while
+    /// [`Hold::may_act`] returns the epoch.
     TookOver {
-        /// Its epoch.
+        /// Epoch of this session as dispatcher.
         epoch: Epoch,
-        /// Ids created before this may have been sent by an earlier dispatcher.
+        /// Requests whose id was created before this may have been sent by an
+        /// earlier dispatcher.
         floor: Wall,
-        /// The earlier dispatcher handed the role over.
+        /// Whether the previous dispatcher handed the role over.
         handed_over: bool,
-        /// What it handed over.
+        /// Requests that the previous dispatcher handed over.
         known: KnownRequests,
     },
-    /// This session is no dispatcher any more.
+    /// This session is no longer the dispatcher.
     Lost {
-        /// Epoch that has ended for it.
+        /// Epoch that has ended for this session.
         epoch: Epoch,
     },
-    /// Every successor declined the endpoint; this session keeps the role and
-    /// may declare the endpoint lost.
+    /// Every successor declined the role; this session keeps it and may declare the
+    /// endpoint lost.
     OfferDeclined {
-        /// Epoch that goes on.
+        /// Epoch that continues.
         epoch: Epoch,
     },
 }
 
 impl Hold {
-    /// Applies a recorded event; the same events give the same actions.
+    /// Applies a recorded event. The same events give the same actions.
     #[must_use]
     pub fn apply(&mut self, event: &HoldEvent, now: Now) -> Vec<HoldAction> {
         match event {
--- a/crates/citronway-core/src/hold/gone_sessions.rs
+++ b/crates/citronway-core/src/hold/gone_sessions.rs
@@ -1,4 +1,4 @@
-//! Which sessions are gone for good.
+//! Detection of sessions that have ended for good.
 
 use indexmap::{IndexMap, IndexSet};
 
@@ -9,15 +9,17 @@
 /// A session that is not known to be gone.
 #[derive(Debug, Clone, Default)]
 struct Watched {
-    /// First list after it became known that did not show its instance.
+    /// When the reading of the first list began that did not show the instance,
+    /// `None` if the last list showed it.
     missing_since: Option<Mono>,
 }
 
-/// Decides when a session counts as gone. One per process serves all its holds.
+/// Decides which sessions are gone, that is, have ended for good. One value per
+/// process serves all its holds.
 ///
-/// A session is gone when the instance list has shown its instance gone for
-/// longer than the list's lag, or when a newer session of its instance answers
-/// under its address.
+/// A session is gone when its instance has been missing from the instance list for
+/// longer than the list's lag, or when a newer session of the instance answers at
+/// its address.
 #[derive(Debug, Clone, Default)]
 pub struct GoneSessions {
     watched: IndexMap<Session, Watched>,
@@ -25,7 +27,7 @@
 }
 
 impl GoneSessions {
-    /// Watches nobody yet.
+    /// Creates a detector that watches no session.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -33,17 +35,17 @@
 
     /// Watches a session that a row or a peer names.
     ///
-    /// Failure guarded against: an instance that has just started is not on the
-    /// list yet, which looks like gone. Absence counts only from a list read
-    /// after the session was first heard of.
+    /// Failure guarded against: an instance that has just started is not listed yet
+    /// and is taken for gone. Its absence counts only from a list that is read
+    /// after the session became known.
     pub fn watch(&mut self, session: &Session) {
         if !self.gone.contains(session) {
             self.watched.entry(session.clone()).or_default();
         }
     }
 
-    /// Takes a list and the time at which its reading began; returns who is gone
-    /// by it.
+    /// Handles an instance list whose reading began at `begun`; returns the
+    /// sessions that it proves gone.
     #[must_use]
     pub fn on_instance_list(&mut self, list: &InstanceList, begun: Now) -> Vec<Session> {
         let mut gone = Vec::new();
@@ -61,14 +63,15 @@
                 gone.push(session.clone());
             }
         }
-        self.bury(&gone);
+        self.mark_gone(&gone);
         gone
     }
 
-    /// Takes the session that answered when this process called an instance's
-    /// address; returns its predecessors, which are gone.
+    /// Handles a handshake in which `session` answered at the address of its
+    /// instance; returns the earlier sessions of the instance, which are thereby
+    /// gone.
     ///
-    /// Calls to one address must be reported in the order in which they were
+    /// Handshakes with one address must be reported in the order in which they were
     /// answered. A session known to be gone proves nothing about others.
     #[must_use]
     pub fn on_handshake(&mut self, session: &Session) -> Vec<Session> {
@@ -76,44 +79,45 @@
             return Vec::new();
         }
         self.watch(session);
-        self.bury_predecessors(session)
+        self.mark_predecessors_gone(session)
     }
 
-    /// Takes the news that this process itself answers under the listed address
-    /// of its instance; returns its predecessors, which are gone.
+    /// Handles a handshake in which this process itself answered at the listed
+    /// address of its instance; returns the earlier sessions of the instance, which
+    /// are thereby gone.
     ///
-    /// Failure guarded against: all instances start again together. Each finds
-    /// rows that name only earlier sessions and knows all of them to be gone but
-    /// the one of its own instance, so that none of them may rewrite the rows and
-    /// no key is ever served again.
+    /// Failure guarded against: all instances restart together. Each finds rows
+    /// that name only earlier sessions, and knows all of them to be gone except
+    /// that of its own instance. No instance may then rewrite the rows, and no key
+    /// is ever served again.
     #[must_use]
     pub fn on_own_handshake(&mut self, me: &Session) -> Vec<Session> {
-        self.bury_predecessors(me)
+        self.mark_predecessors_gone(me)
     }
 
-    fn bury_predecessors(&mut self, session: &Session) -> Vec<Session> {
+    fn mark_predecessors_gone(&mut self, session: &Session) -> Vec<Session> {
         let mut gone = Vec::new();
         for other in self.watched.keys() {
             if other.instance == session.instance && other != session {
                 gone.push(other.clone());
             }
         }
-        self.bury(&gone);
+        self.mark_gone(&gone);
         gone
     }
 
-    /// Whether a session is gone.
+    /// Whether `session` is gone.
     #[must_use]
     pub fn is_gone(&self, session: &Session) -> bool {
         self.gone.contains(session)
     }
 
-    /// All sessions that are gone, for a hold that is made later.
+    /// All gone sessions, to be reported to a hold that is created later.
     pub fn sessions(&self) -> impl Iterator<Item = &Session> {
         self.gone.iter()
     }
 
-    fn bury(&mut self, gone: &[Session]) {
+    fn mark_gone(&mut self, gone: &[Session]) {
         for session in gone {
             self.watched.shift_remove(session);
             self.gone.insert(session.clone());
--- a/crates/citronway-core/src/hold/message.rs
+++ b/crates/citronway-core/src/hold/message.rs
@@ -1,18 +1,19 @@
-//! What a hold does with messages of other sessions.
+//! Handling of messages from other sessions: promise requests, promises and
+//! handovers.
 
 use super::events::HandOverReason;
-use super::{EndpointReach, Handed, Hold, HoldAction, Promised};
+use super::{EndpointReach, GivenPromise, Hold, HoldAction, ReceivedHandover};
 use crate::ids::{Epoch, Session, Version};
 use crate::peer::{HoldMessage, KnownRequests};
 use crate::time::Now;
 
-/// Round in a refusal that answers no question: a declined handover, or a former
-/// member's word on the row it knows.
+/// Round in a refusal that answers no promise request: it declines a handover, or
+/// tells another former member which row version is known.
 pub(super) const NO_ROUND: u64 = 0;
 
-/// A dispatcher's question.
+/// Content of a [`HoldMessage::Ask`], by which a dispatcher requests a promise.
 #[derive(Debug, Clone, Copy)]
-struct Question {
+struct PromiseRequest {
     epoch: Epoch,
     row_version: Version,
     round: u64,
@@ -20,7 +21,7 @@
 }
 
 impl Hold {
-    /// Takes a message of another session.
+    /// Handles a message from another session.
     #[must_use]
     pub fn on_message(
         &mut self,
@@ -29,7 +30,8 @@
         now: Now,
     ) -> Vec<HoldAction> {
         let mut out = Vec::new();
-        // What a dead session sent is no sign of life.
+        // A message of a gone session may arrive late and must not count as a sign
+        // of life.
         if self.gone.contains(from) {
             return out;
         }
@@ -40,13 +42,13 @@
                 round,
                 duration_ms,
             } => {
-                let question = Question {
+                let request = PromiseRequest {
                     epoch: *epoch,
                     row_version: *row_version,
                     round: *round,
                     duration_ms: *duration_ms,
                 };
-                self.on_ask(from, question, now, &mut out);
+                self.on_ask(from, request, now, &mut out);
             }
             HoldMessage::Promise { epoch, round } => self.on_promise(from, *epoch, *round, now),
             HoldMessage::Refuse {
@@ -54,7 +56,7 @@
                 round,
                 row_version,
             } => {
-                self.on_known_version(from, *row_version);
+                self.record_peer_version(from, *row_version);
                 if *round == NO_ROUND {
                     self.on_declined(from, *epoch, now, &mut out);
                 }
@@ -72,83 +74,95 @@
         out
     }
 
-    fn on_ask(&mut self, from: &Session, ask: Question, now: Now, out: &mut Vec<HoldAction>) {
-        self.seen_version = self.seen_version.max(ask.row_version);
-        if self.left && self.pending.is_none() {
+    fn on_ask(
+        &mut self,
+        from: &Session,
+        request: PromiseRequest,
+        now: Now,
+        out: &mut Vec<HoldAction>,
+    ) {
+        self.seen_version = self.seen_version.max(request.row_version);
+        if self.has_left && self.pending.is_none() {
             let row_version = self.known_version();
-            out.push(send(from, HoldMessage::Renounce { row_version }));
+            out.push(send_action(from, HoldMessage::Renounce { row_version }));
             return;
         }
-        if !self.may_promise(ask) {
-            out.push(self.refusal(from, ask.epoch, ask.round));
+        if !self.can_promise(request) {
+            out.push(self.refusal(from, request.epoch, request.round));
             return;
         }
-        self.seen_epoch = self.seen_epoch.max(ask.epoch);
-        self.heard = now.mono;
-        self.free_since = None;
-        self.asked_unlisted = self
+        self.seen_epoch = self.seen_epoch.max(request.epoch);
+        self.last_heard = now.mono;
+        self.takeover_ready_since = None;
+        self.asked_while_unlisted = self
             .known
             .as_ref()
             .is_some_and(|it| !it.row.successors.contains(&self.me));
-        let until = now.mono.plus(self.cfg.kept_ms(ask.duration_ms));
-        let epoch = ask.epoch;
-        self.promised.retain(|_, it| now.mono < it.until);
-        self.promised
-            .insert(from.clone(), Promised { epoch, until });
+        let until = now.mono.plus(self.cfg.kept_ms(request.duration_ms));
+        let epoch = request.epoch;
+        self.given_promises.retain(|_, it| now.mono < it.until);
+        self.given_promises
+            .insert(from.clone(), GivenPromise { epoch, until });
         let promise = HoldMessage::Promise {
-            epoch: ask.epoch,
-            round: ask.round,
+            epoch: request.epoch,
+            round: request.round,
         };
-        out.push(send(from, promise));
+        out.push(send_action(from, promise));
     }
 
-    fn may_promise(&self, ask: Question) -> bool {
-        if self.left || ask.epoch < self.seen_epoch {
+    fn can_promise(&self, request: PromiseRequest) -> bool {
+        if self.has_left || request.epoch < self.seen_epoch {
             return false;
         }
-        if self.handed.as_ref().is_some_and(|it| it.epoch >= ask.epoch) {
+        if self
+            .handover
+            .as_ref()
+            .is_some_and(|it| it.epoch >= request.epoch)
+        {
             return false;
         }
-        // A takeover under way may land at any time, so it must not be followed
-        // by a promise before the row has moved past the version it expects.
+        // A pending takeover write may take effect at any time, so no promise may
+        // follow it until the row has moved past the version that the write
+        // expects.
         let Some(pending) = &self.pending else {
             return true;
         };
-        self.tenure.is_none() && ask.row_version > pending.expected
+        self.dispatcher_state.is_none() && request.row_version > pending.expected
     }
 
     fn on_promise(&mut self, from: &Session, epoch: Epoch, round: u64, now: Now) {
-        let lists = self.lists();
-        let Some(tenure) = &mut self.tenure else {
+        let lists = self.possible_lists();
+        let Some(state) = &mut self.dispatcher_state else {
             return;
         };
-        if tenure.epoch != epoch {
+        if state.epoch != epoch {
             return;
         }
-        if tenure.promised(from, round, self.cfg.promise_ms, now.mono) {
-            tenure.proved_by_promise(from, round, &lists);
+        if state.record_promise(from, round, self.cfg.promise_ms, now.mono) {
+            state.prove_by_promise(from, round, &lists);
         }
     }
 
-    fn on_known_version(&mut self, from: &Session, version: Version) {
+    fn record_peer_version(&mut self, from: &Session, version: Version) {
         self.seen_version = self.seen_version.max(version);
-        let aware = self.aware.entry(from.clone()).or_default();
-        *aware = version.max(*aware);
+        let peer_version = self.peer_versions.entry(from.clone()).or_default();
+        *peer_version = version.max(*peer_version);
     }
 
     fn on_renounce(&mut self, from: &Session, version: Version) {
-        self.on_known_version(from, version);
+        self.record_peer_version(from, version);
         let known = self.known_version();
-        // One that knows a newer row than ours may have made it.
+        // A session that knows a newer row than this one may have written it.
         if version > known {
             return;
         }
-        if let Some(tenure) = &mut self.tenure {
-            tenure.renounced(from);
+        if let Some(state) = &mut self.dispatcher_state {
+            state.mark_renounced(from);
         }
     }
 
-    /// The dispatcher has stopped for good, so its promise needs no waiting out.
+    /// Accepts or declines a handover. The dispatcher has stopped acting for good,
+    /// so the promise given to it need not expire first.
     fn on_handover(
         &mut self,
         from: &Session,
@@ -160,25 +174,28 @@
         if epoch < self.seen_epoch || self.pending.is_some() {
             return;
         }
-        // An offer that came twice must not be taken up once declined: its
-        // dispatcher may have gone on.
-        if self.left || self.reach == EndpointReach::Lost || self.declined >= Some(epoch) {
-            self.declined = self.declined.max(Some(epoch));
+        // A handover that was declined must stay declined when it arrives again:
+        // its dispatcher may have resumed.
+        if self.has_left || self.reach == EndpointReach::Lost || self.declined_epoch >= Some(epoch)
+        {
+            self.declined_epoch = self.declined_epoch.max(Some(epoch));
             out.push(self.refusal(from, epoch, NO_ROUND));
             return;
         }
-        self.handed = Some(Handed {
+        self.handover = Some(ReceivedHandover {
             epoch,
             known: known.clone(),
         });
-        self.promised.retain(|_, it| it.epoch > epoch);
-        self.take_handover(now, out);
+        self.given_promises.retain(|_, it| it.epoch > epoch);
+        self.accept_handover(now, out);
     }
 
-    /// Gives the role away, or leaves for good.
+    /// Hands over the dispatcher role, or leaves for good if this session is no
+    /// dispatcher.
     ///
-    /// A dispatcher stops acting at once. `known` is what it knows, the end
-    /// of all work that still runs included; the successor needs no floor then.
+    /// A dispatcher stops acting at once. `known` are the requests that it knows,
+    /// including the outcome of work that was still running; the successor then
+    /// needs no new floor.
     #[must_use]
     pub fn hand_over(
         &mut self,
@@ -187,7 +204,7 @@
         now: Now,
     ) -> Vec<HoldAction> {
         let mut out = Vec::new();
-        if self.tenure.is_some() {
+        if self.dispatcher_state.is_some() {
             self.start_offer(reason, known, now, &mut out);
         } else if reason == HandOverReason::Leaving {
             self.leave(&mut out);
@@ -195,9 +212,10 @@
         out
     }
 
-    /// Renounces for good, unless a write of ours may yet land.
+    /// Renounces all further writes, unless a write of this session may still take
+    /// effect.
     fn leave(&mut self, out: &mut Vec<HoldAction>) {
-        self.left = true;
+        self.has_left = true;
         if self.pending.is_some() {
             return;
         }
@@ -210,7 +228,7 @@
             if *session == self.me {
                 continue;
             }
-            out.push(send(session, HoldMessage::Renounce { row_version }));
+            out.push(send_action(session, HoldMessage::Renounce { row_version }));
         }
     }
 
@@ -221,7 +239,7 @@
             round,
             row_version,
         };
-        send(to, refuse)
+        send_action(to, refuse)
     }
 
     pub(super) fn known_version(&self) -> Version {
@@ -229,7 +247,7 @@
     }
 }
 
-pub(super) fn send(to: &Session, message: HoldMessage) -> HoldAction {
+pub(super) fn send_action(to: &Session, message: HoldMessage) -> HoldAction {
     HoldAction::Send {
         to: to.clone(),
         message,
--- a/crates/citronway-core/src/hold/pending.rs
+++ b/crates/citronway-core/src/hold/pending.rs
@@ -1,4 +1,4 @@
-//! Writes whose effect is not known yet, and reads of the row.
+//! The write of the row whose effect is not known yet, and the reads of the row.
 
 use indexmap::IndexMap;
 
@@ -6,29 +6,31 @@
 use crate::shard::DispatchRow;
 use crate::time::Mono;
 
-/// Reads kept in mind; an answer to an older one tells nothing any more.
-const READS_KEPT: usize = 8;
+/// Maximum number of unanswered reads that are tracked; answers to older ones are
+/// ignored.
+const MAX_OPEN_READS: usize = 8;
 
-/// A write that may land, also later, also after it was given up.
+/// A write that may still take effect, even after it was given up.
 #[derive(Debug, Clone)]
 pub(super) struct PendingWrite {
-    /// Number of its first submission; all since then carry the same row.
+    /// Number of the first submission. All later submissions carry the same row.
     pub first: u64,
-    /// Version it expects. It is settled once the row has moved past that.
+    /// Row version that the write expects. The write is settled once the row has
+    /// moved past it.
     pub expected: Version,
-    /// Row it writes.
+    /// Row to be written.
     pub row: DispatchRow,
-    /// Latest submission.
+    /// When the write was last submitted.
     pub submitted: Mono,
-    /// Whether the latest submission is still without any report.
+    /// Whether the latest submission has not been reported yet.
     pub waiting: bool,
-    /// Whether a submission ended without an answer and may land yet.
-    pub doubtful: bool,
+    /// Whether a submission ended without a clear answer and may still take effect.
+    pub outcome_unknown: bool,
 }
 
-/// Reads of the row that are under way or answered.
+/// Reads of the row that are in flight or answered.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Reads {
+pub(super) struct RowReads {
     last: u64,
     started: IndexMap<u64, Mono>,
     last_start: Option<Mono>,
@@ -36,14 +38,14 @@
     absent: bool,
 }
 
-impl Reads {
+impl RowReads {
     /// Number of the latest read begun.
-    pub const fn last(&self) -> u64 {
+    pub const fn last_number(&self) -> u64 {
         self.last
     }
 
-    /// Whether a new read is due, at most one in `interval_ms`.
-    pub fn due(&self, now: Mono, interval_ms: u64) -> bool {
+    /// Whether a new read is due; at most one read begins per `interval_ms`.
+    pub fn is_due(&self, now: Mono, interval_ms: u64) -> bool {
         self.last_start
             .is_none_or(|start| now.since(start) >= interval_ms)
     }
@@ -53,14 +55,15 @@
         self.last += 1;
         self.last_start = Some(now);
         self.started.insert(self.last, now);
-        if self.started.len() > READS_KEPT {
+        if self.started.len() > MAX_OPEN_READS {
             self.started.shift_remove_index(0);
         }
         self.last
     }
 
-    /// Takes a store's answer to a read.
-    pub fn answered(&mut self, read: u64, absent: bool) {
+    /// Records the store's answer to a read; `absent` means that the row does not
+    /// exist.
+    pub fn record_answer(&mut self, read: u64, absent: bool) {
         let Some(start) = self.started.shift_remove(&read) else {
             return;
         };
@@ -70,19 +73,20 @@
         }
     }
 
-    /// Takes a read without an answer: the store counts as down again.
-    pub fn failed(&mut self, read: u64) {
+    /// Records that a read was not answered. The store counts as unavailable until
+    /// a later read is answered.
+    pub fn record_failure(&mut self, read: u64) {
         self.started.shift_remove(&read);
         self.answered_start = None;
     }
 
     /// Whether a read begun at or after `since` was answered.
-    pub fn answered_since(&self, since: Mono) -> bool {
+    pub fn has_answer_since(&self, since: Mono) -> bool {
         self.answered_start.is_some_and(|start| start >= since)
     }
 
-    /// Whether the latest answer was that there is no row.
-    pub const fn absent(&self) -> bool {
+    /// Whether the latest answer was that the row does not exist.
+    pub const fn is_row_absent(&self) -> bool {
         self.absent
     }
 }
--- a/crates/citronway-core/src/hold/simulation/faults.rs
+++ b/crates/citronway-core/src/hold/simulation/faults.rs
@@ -1,140 +1,143 @@
-//! What faults do to the world.
+//! Effects of faults on the simulation.
 
-use super::node::{Node, Process};
+use super::node::{Node, ProcessState};
 use super::queue::Step;
-use super::run::World;
+use super::run::Simulation;
 use super::script::Fault;
 use crate::hold::{EndpointReach, HandOverReason, HoldEvent};
 use crate::ids::{InstanceName, Session};
 use crate::peer::KnownRequests;
 
-/// A leaving process exits after this, in milliseconds.
-const EXIT_MS: u64 = 1_000;
-/// How often a new session is greeted until it answers, in milliseconds.
-const GREET_MS: u64 = 300;
-/// Most by which two readings of the instance list lie apart, in milliseconds.
-const LIST_READ_MS: u64 = 500;
+/// Time from the start of a handover until the leaving process exits, in
+/// milliseconds.
+const EXIT_DELAY_MS: u64 = 1_000;
+/// Interval between attempts of a handshake with a new session, in milliseconds.
+const HANDSHAKE_RETRY_MS: u64 = 300;
+/// Maximum time between two readings of the instance list, in milliseconds.
+const MAX_LIST_READ_INTERVAL_MS: u64 = 500;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn list_shows_gone(&mut self, session: &Session) {
         let back = self
             .nodes
             .iter()
-            .any(|it| it.alive() && it.session.instance == session.instance);
+            .any(|it| it.is_alive() && it.session.instance == session.instance);
         if back {
             return;
         }
         self.gone.insert(session.clone());
         for node in 0..self.nodes.len() {
-            let read_ms = self.chance.between(0, LIST_READ_MS);
+            let read_ms = self.rng.between(0, MAX_LIST_READ_INTERVAL_MS);
             let to = self.nodes[node].session.clone();
-            for session in self.gone_of(&session.instance) {
+            for session in self.gone_sessions_of(&session.instance) {
                 let event = HoldEvent::Gone { session };
                 let to = to.clone();
-                self.queue_in(read_ms, Step::Arrive { to, event });
+                self.schedule_in(read_ms, Step::Deliver { to, event });
             }
         }
     }
 
-    /// Sessions of an instance that are gone.
-    fn gone_of(&self, instance: &InstanceName) -> Vec<Session> {
+    /// Sessions of `instance` that have ended.
+    fn gone_sessions_of(&self, instance: &InstanceName) -> Vec<Session> {
         let gone = self.gone.iter().filter(|it| it.instance == *instance);
         gone.cloned().collect()
     }
 
-    /// A node calls an address and meets a new session there.
-    pub(super) fn greet(&mut self, node: usize, new: Session) {
+    /// Simulates a handshake: `node` calls an address, and the session `new`
+    /// answers there.
+    pub(super) fn handshake(&mut self, node: usize, new: Session) {
         let Some(there) = self.index_of(&new) else {
             return;
         };
-        let cut = self.cuts.contains(&(node, there)) || self.cuts.contains(&(there, node));
-        if cut || !self.nodes[there].runs() || !self.nodes[node].alive() {
-            self.queue_in(GREET_MS, Step::Greet { node, new });
+        let cut =
+            self.cut_links.contains(&(node, there)) || self.cut_links.contains(&(there, node));
+        if cut || !self.nodes[there].is_running() || !self.nodes[node].is_alive() {
+            self.schedule_in(HANDSHAKE_RETRY_MS, Step::Handshake { node, new });
             return;
         }
-        for session in self.gone_of(&new.instance) {
-            self.give(node, HoldEvent::Gone { session });
+        for session in self.gone_sessions_of(&new.instance) {
+            self.deliver(node, HoldEvent::Gone { session });
         }
     }
 
     pub(super) fn crash(&mut self, node: usize) {
         let it = &mut self.nodes[node];
-        if !it.alive() {
+        if !it.is_alive() {
             return;
         }
-        it.process = Process::Dead;
-        it.waiting.clear();
+        it.state = ProcessState::Dead;
+        it.deferred_events.clear();
         let session = it.session.clone();
-        self.queue_in(self.header.list_lag_ms, Step::ListShowsGone { session });
+        self.schedule_in(self.header.list_lag_ms, Step::ListShowsGone { session });
     }
 
     fn restart(&mut self, node: usize) {
-        self.starts += 1;
+        self.last_session_number += 1;
         let clock = self.nodes[node].clock;
         let old = self.nodes[node].session.clone();
-        let mut fresh = Node::new(node, self.starts, clock, &self.header.settings);
+        let mut fresh = Node::new(node, self.last_session_number, clock, &self.header.settings);
         fresh.store_cut = self.nodes[node].store_cut;
         let new = fresh.session.clone();
         self.nodes[node] = fresh;
         self.gone.insert(old);
         let known_gone: Vec<Session> = self.gone.iter().cloned().collect();
         for session in known_gone {
-            self.give(node, HoldEvent::Gone { session });
+            self.deliver(node, HoldEvent::Gone { session });
         }
         for other in 0..self.nodes.len() {
             if other == node {
                 continue;
             }
-            let ms = self.chance.between(1, GREET_MS);
-            let step = Step::Greet {
+            let ms = self.rng.between(1, HANDSHAKE_RETRY_MS);
+            let step = Step::Handshake {
                 node: other,
                 new: new.clone(),
             };
-            self.queue_in(ms, step);
+            self.schedule_in(ms, step);
         }
     }
 
     fn resume(&mut self, node: usize) {
-        if self.nodes[node].process != Process::Paused {
+        if self.nodes[node].state != ProcessState::Paused {
             return;
         }
-        self.nodes[node].process = Process::Running;
+        self.nodes[node].state = ProcessState::Running;
         self.tick(node);
-        let waiting = std::mem::take(&mut self.nodes[node].waiting);
-        for event in waiting {
-            self.give(node, event);
+        let deferred = std::mem::take(&mut self.nodes[node].deferred_events);
+        for event in deferred {
+            self.deliver(node, event);
         }
     }
 
     fn hand_over(&mut self, node: usize, reason: HandOverReason) {
-        if !self.nodes[node].runs() {
+        if !self.nodes[node].is_running() {
             return;
         }
         let it = &self.nodes[node];
         if let Some((_, row)) = it.hold.known_row()
             && row.dispatcher == it.session
         {
-            self.watch.handed_over.push(row.epoch);
+            self.invariants.handed_over.push(row.epoch);
         }
         let known = KnownRequests::default();
-        self.give(node, HoldEvent::HandOver { reason, known });
+        self.deliver(node, HoldEvent::HandOver { reason, known });
         if reason == HandOverReason::Leaving {
             let session = self.nodes[node].session.clone();
-            self.queue_in(EXIT_MS, Step::Exit { session });
+            self.schedule_in(EXIT_DELAY_MS, Step::Exit { session });
         }
     }
 
-    pub(super) fn fault(&mut self, fault: Fault) {
+    pub(super) fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Crash { node } => self.crash(node),
             Fault::Restart { node } => self.restart(node),
             Fault::Pause { node } => self.nodes[node].pause(),
             Fault::Continue { node } => self.resume(node),
             Fault::Cut { from, to } => {
-                self.cuts.insert((from, to));
+                self.cut_links.insert((from, to));
             }
             Fault::Mend { from, to } => {
-                self.cuts.shift_remove(&(from, to));
+                self.cut_links.shift_remove(&(from, to));
             }
             Fault::CutStore { node } => self.nodes[node].store_cut = true,
             Fault::StoreDown => self.store_down = true,
@@ -148,9 +151,9 @@
     }
 
     fn mend_all(&mut self) {
-        self.mended = true;
+        self.all_mended = true;
         self.store_down = false;
-        self.cuts.clear();
+        self.cut_links.clear();
         for node in 0..self.nodes.len() {
             let it = &mut self.nodes[node];
             it.store_cut = false;
--- a/crates/citronway-core/src/hold/simulation/mod.rs
+++ b/crates/citronway-core/src/hold/simulation/mod.rs
@@ -1,18 +1,19 @@
-//! Replay of a hold's traces: several holds, a model of the store, and faults.
+//! Deterministic simulation of several holds with a model of the store and injected
+//! faults.
 //!
-//! A trace is JSON lines: a [`Header`], then [`TimedFault`]s. Everything that is
-//! left to chance follows from the header's seed, so that a trace has one outcome.
+//! A trace is a file of JSON lines: a [`Header`], then [`TimedFault`]s. All random
+//! choices follow from the header's seed, so a trace always has the same outcome.
 
 mod calls;
-mod chance;
 mod faults;
+mod invariants;
 mod node;
 mod outcome;
 mod queue;
+mod rng;
 mod run;
 mod script;
 mod store;
-mod watch;
 
 pub use outcome::{ActiveInterval, HoldOutcome, ReplayError, Violation};
 pub use script::{Fault, Header, TimedFault};
@@ -21,17 +22,18 @@
 ///
 /// # Errors
 ///
-/// Fails if a line cannot be read or names an instance that is not there.
+/// Fails if the trace is empty, a line is malformed or a fault names an instance
+/// that does not exist.
 pub fn replay(trace: &str) -> Result<HoldOutcome, ReplayError> {
     let (header, faults) = parse(trace)?;
     replay_script(&header, &faults)
 }
 
-/// Replays a trace.
+/// Replays a trace given as a header and faults.
 ///
 /// # Errors
 ///
-/// Fails if a fault names an instance that is not there.
+/// Fails if a fault names an instance that does not exist.
 pub fn replay_script(header: &Header, faults: &[TimedFault]) -> Result<HoldOutcome, ReplayError> {
     for (index, timed) in faults.iter().enumerate() {
         for node in timed.fault.nodes() {
@@ -40,7 +42,7 @@
             }
         }
     }
-    Ok(run::World::new(header).run(faults))
+    Ok(run::Simulation::new(header).run(faults))
 }
 
 fn parse(trace: &str) -> Result<(Header, Vec<TimedFault>), ReplayError> {
--- a/crates/citronway-core/src/hold/simulation/outcome.rs
+++ b/crates/citronway-core/src/hold/simulation/outcome.rs
@@ -1,51 +1,52 @@
-//! What a trace leads to, to be compared with the stated outcome.
+//! Outcome of a trace, to be compared with the expected one.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::ids::{Epoch, Session};
 
-/// A time during which one session might act without a break.
+/// An uninterrupted interval in which a session was permitted to act.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActiveInterval {
-    /// The session.
+    /// Session that was permitted to act.
     pub session: Session,
-    /// Its epoch.
+    /// Epoch of the session.
     pub epoch: Epoch,
-    /// First moment, in milliseconds from the start.
+    /// Start of the interval, in milliseconds from the start of the trace.
     pub from: u64,
-    /// Last moment seen.
+    /// Last moment at which the session was seen active, in milliseconds from the
+    /// start.
     pub until: u64,
 }
 
-/// A promise of the design that did not hold.
+/// A violation of an invariant of the hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "broken", rename_all = "snake_case")]
 pub enum Violation {
-    /// Two sessions might act at the same moment.
+    /// Two sessions were permitted to act at the same time.
     TwoActing {
-        /// When.
+        /// Time of the violation, in milliseconds from the start.
         at: u64,
-        /// One of them.
+        /// One of the sessions.
         first: Session,
-        /// The other.
+        /// The other session.
         second: Session,
     },
-    /// The epoch of the row went back or was given twice.
+    /// The epoch of the row decreased or was given to two sessions.
     Epoch {
-        /// When.
+        /// Time of the violation, in milliseconds from the start.
         at: u64,
     },
-    /// A hold took an older row for the newest.
+    /// A hold replaced its known row by an older one.
     Version {
-        /// When.
+        /// Time of the violation, in milliseconds from the start.
         at: u64,
     },
-    /// A dispatcher's floor is below ids that an earlier one may have sent.
+    /// A dispatcher's floor is below ids that an earlier dispatcher may have sent.
     Floor {
-        /// When.
+        /// Time of the violation, in milliseconds from the start.
         at: u64,
-        /// Epoch of the floor.
+        /// Epoch of the dispatcher with that floor.
         epoch: Epoch,
     },
 }
@@ -53,44 +54,44 @@
 /// Outcome of a trace.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HoldOutcome {
-    /// Who might act, in order.
+    /// Intervals in which a session was permitted to act, in order.
     pub acting: Vec<ActiveInterval>,
-    /// Longest time in which nobody might act, in milliseconds.
+    /// Longest time in which no session was permitted to act, in milliseconds.
     pub longest_gap_ms: u64,
-    /// Row at the end.
+    /// Dispatcher in the final row.
     pub dispatcher: Option<Session>,
-    /// Its successors.
+    /// Successors in the final row.
     pub successors: Vec<Session>,
-    /// Its former dispatchers.
+    /// Former members in the final row.
     pub former: Vec<Session>,
-    /// Reads that reached the store.
+    /// Number of reads that reached the store.
     pub store_reads: u64,
-    /// Writes that reached the store, conflicts included.
+    /// Number of writes that reached the store, including conflicts.
     pub store_writes: u64,
-    /// First promise of the design that did not hold.
+    /// First violation of an invariant, `None` if there was none.
     pub broken: Option<Violation>,
 }
 
-/// Why a trace cannot be replayed.
+/// Error that prevents the replay of a trace.
 #[derive(Debug, Error)]
 pub enum ReplayError {
-    /// It has no lines.
+    /// The trace has no lines.
     #[error("the trace is empty")]
     Empty,
-    /// A line is not what it should be.
+    /// A line is malformed.
     #[error("line {line}: {source}")]
     Line {
-        /// Its number, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// What is wrong.
+        /// Cause of the error.
         source: serde_json::Error,
     },
-    /// A fault names an instance that is not there.
+    /// A fault names an instance that does not exist.
     #[error("fault {fault}: no instance {node}")]
     NoInstance {
-        /// Number of the fault, from 0.
+        /// Index of the fault, from 0.
         fault: usize,
-        /// Instance named.
+        /// Instance that the fault names.
         node: usize,
     },
 }
--- a/crates/citronway-core/src/hold/simulation/queue.rs
+++ b/crates/citronway-core/src/hold/simulation/queue.rs
@@ -1,4 +1,4 @@
-//! Steps of a replay, ordered by time.
+//! Steps of a simulation and their order in the queue.
 
 use std::cmp::Ordering;
 
@@ -7,30 +7,30 @@
 use crate::ids::{Session, Version};
 use crate::shard::DispatchRow;
 
-/// Something that happens at its time.
+/// Something that happens at a scheduled time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Step {
     Tick { node: usize },
-    Arrive { to: Session, event: HoldEvent },
-    StoreCall { call: Call },
+    Deliver { to: Session, event: HoldEvent },
+    StoreCall { call: StoreCall },
     StoreAnswer { to: Session, event: HoldEvent },
     ListShowsGone { session: Session },
-    Greet { node: usize, new: Session },
+    Handshake { node: usize, new: Session },
     Exit { session: Session },
     Fault { fault: Fault },
 }
 
-/// A call under way to the store.
+/// A call to the store that is in flight.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Call {
+pub(super) struct StoreCall {
     pub from: Session,
     pub begun: u64,
     pub lose_answer: bool,
-    pub what: StoreWork,
+    pub operation: StoreOperation,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum StoreWork {
+pub(super) enum StoreOperation {
     Read {
         read: u64,
     },
@@ -41,21 +41,21 @@
     },
 }
 
-/// A step in the queue, ordered by time and then by number.
+/// A scheduled step. Steps are ordered by time, then by their number.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Queued {
+pub(super) struct ScheduledStep {
     pub at: u64,
     pub number: u64,
     pub step: Step,
 }
 
-impl PartialOrd for Queued {
+impl PartialOrd for ScheduledStep {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
+impl Ord for ScheduledStep {
     fn cmp(&self, other: &Self) -> Ordering {
         (self.at, self.number).cmp(&(other.at, other.number))
     }
--- a/crates/citronway-core/src/hold/simulation/chance.rs
+++ b/crates/citronway-core/src/hold/simulation/rng.rs
@@ -1,10 +1,10 @@
-//! A small generator of numbers for delays, the same on every run.
+//! Pseudorandom numbers that are the same in every run with the same seed.
 
-/// `SplitMix64`.
+/// The `SplitMix64` generator.
 #[derive(Debug, Clone)]
-pub(super) struct Chance(u64);
+pub(super) struct SplitMix64(u64);
 
-impl Chance {
+impl SplitMix64 {
     pub const fn new(seed: u64) -> Self {
         Self(seed)
     }
@@ -17,13 +17,13 @@
         x ^ (x >> 31)
     }
 
-    /// A number from `first` to `last`, both included.
+    /// Returns a number from `first` to `last`, both included.
     pub fn between(&mut self, first: u64, last: u64) -> u64 {
         first + self.next() % (last - first + 1)
     }
 
-    /// Whether something happens that does so `per_mille` times in a thousand.
-    pub fn happens(&mut self, per_mille: u64) -> bool {
+    /// Returns true with a probability of `per_mille` in 1,000.
+    pub fn random_bool(&mut self, per_mille: u64) -> bool {
         self.between(1, 1000) <= per_mille
     }
 }
--- a/crates/citronway-core/src/hold/simulation/script.rs
+++ b/crates/citronway-core/src/hold/simulation/script.rs
@@ -1,30 +1,32 @@
-//! Traces of a hold: JSON lines, a header and then faults by time.
+//! Format of a trace: a header, then timed faults, as JSON lines.
 
 use serde::{Deserialize, Serialize};
 
 use crate::hold::{EndpointReach, HandOverReason, HoldSettings};
 
-/// First line of a trace: what it is about and the surroundings.
+/// First line of a trace: its description and the simulated environment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Header {
-    /// What it shows.
+    /// What the trace shows.
     pub story: String,
     /// Seed of all delays, losses, clock rates and clock skews.
     pub seed: u64,
-    /// Number of instances. The row starts with 0 as dispatcher, 1 and 2 as successors.
+    /// Number of instances. The initial row names 0 as dispatcher, 1 and 2 as
+    /// successors.
     pub instances: usize,
-    /// How long it runs, in milliseconds.
+    /// Duration of the simulation, in milliseconds.
     pub end_ms: u64,
     /// Lag of the instance list, in milliseconds.
     pub list_lag_ms: u64,
-    /// Messages lost, in a thousand, until everything is mended.
+    /// Share of messages that are lost until [`Fault::MendAll`], in a thousand.
     pub lost_per_mille: u64,
-    /// Messages and store calls that are slow, in a thousand, until then.
+    /// Share of messages and store calls that are delayed until [`Fault::MendAll`],
+    /// in a thousand.
     pub slow_per_mille: u64,
-    /// Most by which a slow one is delayed, in milliseconds.
+    /// Maximum delay of these messages and store calls, in milliseconds.
     pub slow_ms: u64,
-    /// Settings of the holds.
+    /// Settings of all holds.
     pub settings: HoldSettings,
 }
 
@@ -44,95 +46,97 @@
     }
 }
 
-/// A line after the header.
+/// A fault and its time; each line after the header holds one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimedFault {
-    /// When it happens, in milliseconds from the start.
+    /// Time of the fault, in milliseconds from the start.
     pub at: u64,
-    /// What happens.
+    /// Fault to inject.
     #[serde(flatten)]
     pub fault: Fault,
 }
 
-/// Something that happens to the instances or the platform.
+/// A fault of an instance, a link between instances or the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case")]
 pub enum Fault {
     /// The process is killed.
     Crash {
-        /// Instance.
+        /// Instance that is killed.
         node: usize,
     },
-    /// It starts again under the same address, as a new session.
+    /// The process starts again at the same address, as a new session.
     Restart {
-        /// Instance.
+        /// Instance that starts.
         node: usize,
     },
-    /// The process stops running; what arrives waits.
+    /// The process is suspended; events that arrive are deferred.
     Pause {
-        /// Instance.
+        /// Instance that is suspended.
         node: usize,
     },
-    /// It runs on, and finds the time passed before it reads what waits.
+    /// The process continues. It ticks, at the present time, before it handles the
+    /// deferred events.
     Continue {
-        /// Instance.
+        /// Instance that continues.
         node: usize,
     },
     /// Messages in one direction are lost.
     Cut {
-        /// Sender.
+        /// Sender of the lost messages.
         from: usize,
-        /// Receiver.
+        /// Receiver of the lost messages.
         to: usize,
     },
-    /// They arrive again.
+    /// Messages in one direction are no longer lost.
     Mend {
-        /// Sender.
+        /// Sender of the messages.
         from: usize,
-        /// Receiver.
+        /// Receiver of the messages.
         to: usize,
     },
-    /// The instance does not reach the store.
+    /// The instance cannot reach the store.
     CutStore {
-        /// Instance.
+        /// Instance that is cut off.
         node: usize,
     },
-    /// The store answers nobody.
+    /// The store answers no instance.
     StoreDown,
-    /// It does again.
+    /// The store answers again.
     StoreUp,
     /// The next write of an instance reaches the store late.
     DelayWrite {
-        /// Instance.
+        /// Instance that writes.
         node: usize,
-        /// How late, in milliseconds.
+        /// Delay of the write, in milliseconds.
         ms: u64,
     },
-    /// The answer to its next write is lost.
+    /// The answer to the next write of an instance is lost.
     LoseAnswer {
-        /// Instance.
+        /// Instance that writes.
         node: usize,
     },
-    /// Its probes of the endpoint tell this.
+    /// Changes the result of an instance's probes of the endpoint.
     Reach {
-        /// Instance.
+        /// Instance that probes.
         node: usize,
-        /// What they tell.
+        /// New result of the probes.
         reach: EndpointReach,
     },
-    /// It gives its role away, and when leaving exits a second later.
+    /// The instance hands over its role. If it is leaving, its process exits one
+    /// second later.
     HandOver {
-        /// Instance.
+        /// Instance that hands over.
         node: usize,
-        /// Why.
+        /// Why it hands over.
         reason: HandOverReason,
     },
-    /// All cuts, outages, pauses, losses and delays end.
+    /// Ends all cuts, outages, pauses, losses and delays.
     MendAll,
 }
 
 impl Fault {
-    /// Instances that it names.
+    /// Instances that the fault names.
     pub(super) fn nodes(&self) -> Vec<usize> {
         match self {
             Self::Crash { node }
--- a/crates/citronway-core/src/hold/simulation/store.rs
+++ b/crates/citronway-core/src/hold/simulation/store.rs
@@ -1,19 +1,19 @@
-//! A model of the table service, reduced to the one dispatch row.
+//! A model of the platform's table store that holds one dispatch row.
 
 use crate::hold::ReadOutcome;
 use crate::ids::{Epoch, Version};
 use crate::platform::{RowKey, WriteOutcome};
 use crate::shard::DispatchRow;
 
-/// The stored row.
+/// The stored row and counts of the accesses to it.
 #[derive(Debug, Clone)]
 pub(super) struct Store {
     pub version: Version,
     pub row: DispatchRow,
     pub reads: u64,
     pub writes: u64,
-    /// Whether a write took an epoch back or shared it between two sessions.
-    pub epoch_broken: bool,
+    /// Whether a write decreased the epoch or gave it to a second session.
+    pub epoch_violated: bool,
 }
 
 impl Store {
@@ -23,7 +23,7 @@
             row,
             reads: 0,
             writes: 0,
-            epoch_broken: false,
+            epoch_violated: false,
         }
     }
 
@@ -50,7 +50,7 @@
         let Epoch(old) = self.row.epoch;
         let same = self.row.dispatcher == row.dispatcher;
         let kept = row.epoch.0 == old && same;
-        self.epoch_broken |= !(kept || row.epoch.0 > old);
+        self.epoch_violated |= !(kept || row.epoch.0 > old);
         self.version = self.version.next();
         self.row = row.clone();
         WriteOutcome::Done {
--- a/crates/citronway-core/src/hold/store.rs
+++ b/crates/citronway-core/src/hold/store.rs
@@ -1,4 +1,5 @@
-//! Reads and writes of the dispatch row, and what an unclear answer means.
+//! Reads and conditional writes of the dispatch row, and how unclear results are
+//! settled.
 
 use super::pending::PendingWrite;
 use super::{Hold, HoldAction, ReadOutcome};
@@ -8,23 +9,23 @@
 use crate::time::Now;
 
 impl Hold {
-    /// Takes the result of [`HoldAction::ReadRow`].
+    /// Handles the result of [`HoldAction::ReadRow`].
     #[must_use]
     pub fn on_read_done(&mut self, read: u64, outcome: &ReadOutcome, now: Now) -> Vec<HoldAction> {
         let mut out = Vec::new();
         match outcome {
             ReadOutcome::Found { version, row } => {
-                self.reads.answered(read, false);
-                self.learn(row, *version, now, &mut out);
+                self.reads.record_answer(read, false);
+                self.adopt_row(row, *version, now, &mut out);
                 self.prove_by_row(row, read, 0);
             }
-            ReadOutcome::Absent => self.reads.answered(read, true),
-            ReadOutcome::Failed => self.reads.failed(read),
+            ReadOutcome::Absent => self.reads.record_answer(read, true),
+            ReadOutcome::Failed => self.reads.record_failure(read),
         }
         out
     }
 
-    /// Takes the result of [`HoldAction::Write`].
+    /// Handles the result of [`HoldAction::Write`].
     #[must_use]
     pub fn on_write_done(
         &mut self,
@@ -43,22 +44,22 @@
             WriteOutcome::Done { versions } => {
                 let row = pending.row.clone();
                 let version = versions.first().copied().unwrap_or_default();
-                self.learn(&row, version, now, &mut out);
+                self.adopt_row(&row, version, now, &mut out);
                 self.prove_by_row(&row, 0, write);
             }
-            // An earlier submission may be what moved the row, so only its
-            // content settles the write.
+            // The conflict may be with an earlier submission of the same write, so
+            // only the content of the row settles the write.
             WriteOutcome::Conflict { found, .. } => {
-                pending.doubtful = true;
+                pending.outcome_unknown = true;
                 self.seen_version = self.seen_version.max(*found);
-                self.read(now, &mut out);
+                self.read_row(now, &mut out);
             }
             WriteOutcome::Unknown => {
-                pending.doubtful = true;
-                self.read(now, &mut out);
+                pending.outcome_unknown = true;
+                self.read_row(now, &mut out);
             }
             WriteOutcome::Refused => {
-                if !pending.doubtful {
+                if !pending.outcome_unknown {
                     self.pending = None;
                 }
             }
@@ -66,41 +67,42 @@
         out
     }
 
-    /// Settles a write without a clear answer: by a row that has moved past the
-    /// version it expected, else by submitting the same row again.
+    /// Settles a write without a clear result: by a row that has moved past the
+    /// version that the write expects, or else by submitting the same row again.
     ///
-    /// Failure guarded against: the answer is lost and the row still shows the
-    /// old version, but the write lands later. Reading alone never settles it.
-    /// Submitted again with the same content and expectation, one of the two at
-    /// most takes effect, and either moves the version.
-    pub(super) fn settle(&mut self, now: Now, out: &mut Vec<HoldAction>) {
+    /// Failure guarded against: the answer is lost, a read still shows the old
+    /// version, and the write takes effect later. Reads alone never settle the
+    /// write. When it is submitted again with the same row and expected version, at
+    /// most one of the submissions takes effect, and that changes the version.
+    pub(super) fn settle_write(&mut self, now: Now, out: &mut Vec<HoldAction>) {
         let Some(pending) = &self.pending else {
             return;
         };
         let submitted = pending.submitted;
         let waited_ms = now.mono.since(submitted);
-        // The write may have taken effect although its answer is lost; the row
-        // tells before the call times out.
+        // The write may have taken effect although its answer is lost. A read of
+        // the row shows it before the call times out.
         if pending.waiting {
             if waited_ms >= self.cfg.ask_interval_ms / 2 {
-                self.read(now, out);
+                self.read_row(now, out);
             }
             return;
         }
-        if !pending.doubtful {
+        if !pending.outcome_unknown {
             return;
         }
-        if !self.reads.answered_since(submitted.plus(1)) {
-            self.read(now, out);
+        if !self.reads.has_answer_since(submitted.plus(1)) {
+            self.read_row(now, out);
             return;
         }
-        if !self.left && waited_ms >= self.cfg.ask_interval_ms {
-            self.submit(now, out);
+        if !self.has_left && waited_ms >= self.cfg.ask_interval_ms {
+            self.submit_write(now, out);
         }
     }
 
-    /// Starts a write of `row`.
-    pub(super) fn write(&mut self, row: DispatchRow, now: Now, out: &mut Vec<HoldAction>) {
+    /// Starts a write of `row` on the condition that the known version is
+    /// unchanged.
+    pub(super) fn start_write(&mut self, row: DispatchRow, now: Now, out: &mut Vec<HoldAction>) {
         let expected = self.known.as_ref().map_or(Version(0), |it| it.version);
         self.pending = Some(PendingWrite {
             first: self.last_write + 1,
@@ -108,12 +110,12 @@
             row,
             submitted: now.mono,
             waiting: false,
-            doubtful: false,
+            outcome_unknown: false,
         });
-        self.submit(now, out);
+        self.submit_write(now, out);
     }
 
-    fn submit(&mut self, now: Now, out: &mut Vec<HoldAction>) {
+    fn submit_write(&mut self, now: Now, out: &mut Vec<HoldAction>) {
         let Some(pending) = &mut self.pending else {
             return;
         };
@@ -127,30 +129,31 @@
         });
     }
 
-    /// Reads the row unless a read was begun shortly before.
-    pub(super) fn read(&mut self, now: Now, out: &mut Vec<HoldAction>) {
-        if self.reads.due(now.mono, self.cfg.ask_interval_ms) {
+    /// Reads the row unless a read began less than `ask_interval_ms` ago.
+    pub(super) fn read_row(&mut self, now: Now, out: &mut Vec<HoldAction>) {
+        if self.reads.is_due(now.mono, self.cfg.ask_interval_ms) {
             let read = self.reads.begin(now.mono);
             out.push(HoldAction::ReadRow { read });
         }
     }
 
-    /// Whether the store answered a read begun so shortly before that a write is
-    /// likely to be answered too.
+    /// Whether the store answered a read that began within the last `suspicion_ms`,
+    /// so that it is likely to answer a write too.
     ///
-    /// A write during an outage would stay unsettled and keep its author silent
-    /// for as long as the outage lasts, so the store is tried with a read first.
-    pub(super) fn store_answers(&self, now: Now) -> bool {
+    /// A write during a store outage stays unsettled and keeps its session from
+    /// promising for as long as the outage lasts. So the store is probed with a
+    /// read first.
+    pub(super) fn is_store_answering(&self, now: Now) -> bool {
         let since = now.mono.minus(self.cfg.suspicion_ms);
-        self.reads.answered_since(since)
+        self.reads.has_answer_since(since)
     }
 
     fn prove_by_row(&mut self, row: &DispatchRow, read: u64, write: u64) {
-        let Some(tenure) = &mut self.tenure else {
+        let Some(state) = &mut self.dispatcher_state else {
             return;
         };
-        if row.dispatcher == self.me && row.epoch == tenure.epoch {
-            tenure.proved_by_store(read, write);
+        if row.dispatcher == self.me && row.epoch == state.epoch {
+            state.prove_by_store(read, write);
         }
     }
 }
--- a/crates/citronway-core/src/hotkeys/mod.rs
+++ b/crates/citronway-core/src/hotkeys/mod.rs
@@ -1,4 +1,4 @@
-//! Heavy hitters: the keys asked for most often, in bounded memory.
+//! Heavy hitters: approximate counts of the most requested keys in bounded memory.
 
 mod sketch;
 
--- a/crates/citronway-core/src/hotkeys/sketch.rs
+++ b/crates/citronway-core/src/hotkeys/sketch.rs
@@ -5,55 +5,57 @@
 
 use indexmap::IndexMap;
 
-/// A counted key.
+/// Bounds of the count of one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HotKeyCount<K> {
-    /// The key.
+    /// Key that was counted.
     pub key: K,
-    /// It was seen at least this often.
+    /// Lower bound of the key's count.
     pub at_least: u64,
-    /// It was seen at most this often.
+    /// Upper bound of the key's count.
     pub at_most: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Counter {
     count: u64,
-    /// Part of the count that was inherited from the key it displaced.
+    /// Upper bound of the error of `count`: the count of the key that this one
+    /// displaced.
     error: u64,
 }
 
-/// Counter with its place, in the order of counts.
+/// Count and index of a counter, ordered by count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Ranked {
     count: u64,
     index: usize,
 }
 
-/// Counts of the most frequent keys.
+/// Approximate counts of the most frequent keys.
 ///
-/// With `n` counters, every key seen more often than one time in `n` is among
-/// them, and no count is off by more than that.
+/// With `n` counters, every key that makes up more than 1/n of the additions is
+/// counted, and no count is off by more than 1/n of the additions.
 #[derive(Debug)]
 pub struct HotKeys<K> {
     counters: IndexMap<K, Counter>,
-    /// By count; the least is displaced. An `IndexMap` does not keep order.
+    /// Counters ordered by count, the least of which is displaced. An `IndexMap`
+    /// does not keep this order.
     ranks: BTreeSet<Ranked>,
-    most: usize,
+    max_counters: usize,
 }
 
 impl<K: Clone + Eq + Hash> HotKeys<K> {
-    /// No counts; room for `most` keys, at least one.
+    /// Creates an empty sketch with room for `max_counters` keys, at least one.
     #[must_use]
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_counters: usize) -> Self {
         Self {
             counters: IndexMap::new(),
             ranks: BTreeSet::new(),
-            most: most.max(1),
+            max_counters: max_counters.max(1),
         }
     }
 
-    /// Counts a key.
+    /// Counts one occurrence of a key.
     pub fn add(&mut self, key: &K) {
         if let Some((index, _, counter)) = self.counters.get_full_mut(key) {
             let count = counter.count;
@@ -61,18 +63,18 @@
             self.rerank(index, count, count + 1);
             return;
         }
-        if self.counters.len() < self.most {
+        if self.counters.len() < self.max_counters {
             self.insert(key, Counter { count: 1, error: 0 });
             return;
         }
         self.displace(key);
     }
 
-    /// The most frequent keys, most frequent first.
+    /// The `limit` most frequent keys, most frequent first.
     #[must_use]
-    pub fn top(&self, most: usize) -> Vec<HotKeyCount<K>> {
-        let mut top = Vec::with_capacity(most.min(self.counters.len()));
-        for ranked in self.ranks.iter().rev().take(most) {
+    pub fn top(&self, limit: usize) -> Vec<HotKeyCount<K>> {
+        let mut top = Vec::with_capacity(limit.min(self.counters.len()));
+        for ranked in self.ranks.iter().rev().take(limit) {
             let Some((key, counter)) = self.counters.get_index(ranked.index) else {
                 continue;
             };
@@ -85,7 +87,7 @@
         top
     }
 
-    /// Halves all counts, so that keys that were hot long ago fade.
+    /// Halves all counts, so that keys that are no longer requested lose weight.
     pub fn decay(&mut self) {
         for counter in self.counters.values_mut() {
             counter.count /= 2;
@@ -99,19 +101,19 @@
         }
     }
 
-    /// Forgets everything.
+    /// Removes all counts.
     pub fn clear(&mut self) {
         self.counters.clear();
         self.ranks.clear();
     }
 
-    /// Keys that are counted.
+    /// Number of counted keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.counters.len()
     }
 
-    /// Whether nothing has been counted.
+    /// Whether no key is counted.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.counters.is_empty()
@@ -123,7 +125,8 @@
         self.ranks.insert(Ranked { count, index });
     }
 
-    /// Gives the least counter to a new key, which inherits its count.
+    /// Replaces the key with the least count by a new key, which inherits that
+    /// count.
     fn displace(&mut self, key: &K) {
         let Some(least) = self.ranks.pop_first() else {
             return;
