--- a/crates/citronway-core/examples/hold_takeover.rs
+++ b/crates/citronway-core/examples/hold_takeover.rs
@@ -1,4 +1,4 @@
-//! Measures, in machine time, how long nobody acts after a dispatcher is lost.
+//! Simulates how long no session acts after the loss of a dispatcher.
 //!
 //! `cargo run --release -p citronway-core --example hold_takeover [SEEDS]`
 
@@ -7,12 +7,12 @@
 use citronway_core::hold::HandOverReason;
 use citronway_core::hold::simulation::{Fault, Header, TimedFault, replay_script};
 
-const SEEDS: u64 = 10_000;
+const DEFAULT_SEEDS: u64 = 10_000;
 const LOSS_MS: u64 = 2_000;
-/// The loss falls anywhere in the first second after [`LOSS_MS`].
+/// The loss falls within this time after [`LOSS_MS`], in milliseconds.
 const SPREAD_MS: u64 = 1_000;
 
-/// A kind of loss, as the script of one run.
+/// A kind of loss and the faults that cause it.
 struct Loss {
     name: &'static str,
     faults: fn(at: u64) -> Vec<TimedFault>,
@@ -65,8 +65,8 @@
     TimedFault { at, fault }
 }
 
-/// Milliseconds from the loss to the next session that acts.
-fn measure(loss: &Loss, seed: u64) -> Result<u64, Box<dyn Error>> {
+/// Simulated time from the loss until another session acts, in milliseconds.
+fn takeover_ms(loss: &Loss, seed: u64) -> Result<u64, Box<dyn Error>> {
     let at = LOSS_MS + seed * 7 % SPREAD_MS;
     let header = Header {
         seed,
@@ -74,25 +74,25 @@
     };
     let outcome = replay_script(&header, &(loss.faults)(at))?;
     let next = outcome.acting.iter().find(|it| it.epoch.0 > 1);
-    let from = next.ok_or("nobody took over")?.from;
+    let from = next.ok_or("no session took over")?.from;
     Ok(from.saturating_sub(at))
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
     let seeds = match std::env::args().nth(1) {
         Some(text) => text.parse()?,
-        None => SEEDS,
+        None => DEFAULT_SEEDS,
     };
-    println!("ms from the loss to the next dispatcher that acts, {seeds} seeds");
+    println!("ms from the loss until another dispatcher acts, {seeds} seeds");
     for loss in LOSSES {
         let mut times = Vec::new();
         for seed in 0..seeds {
-            times.push(measure(&loss, seed)?);
+            times.push(takeover_ms(&loss, seed)?);
         }
         times.sort_unstable();
         let at = |per_mille: usize| times[(times.len() - 1) * per_mille / 1000];
         println!(
-            "{:32} least {:5}  50 in 100 {:5}  99 in 100 {:5}  most {:5}",
+            "{:32} min {:5}  p50 {:5}  p99 {:5}  max {:5}",
             loss.name,
             at(0),
             at(500),
--- a/crates/citronway-core/tests/hold_candidates.rs
+++ b/crates/citronway-core/tests/hold_candidates.rs
@@ -1,9 +1,9 @@
-//! Candidates that a hold does not want make no difference to it.
+//! A hold that does not need candidates behaves the same with and without them.
 //!
-//! An instance ranks candidates only for the holds that ask for them. If a hold
-//! did not ask but would have used them, a lost successor would not be replaced,
-//! or nobody would rewrite a row of sessions that are gone. Users would see keys
-//! that nobody serves.
+//! An instance ranks candidates only for the holds that need them. Failure guarded
+//! against: a hold reports that it needs none but would use them. Then a lost
+//! successor is not replaced, or no session rewrites a row whose members are all
+//! gone, and its keys are not served.
 
 use citronway_core::hold::{EndpointReach, Hold, HoldAction, HoldEvent, HoldSettings, ReadOutcome};
 use citronway_core::ids::{EndpointName, Epoch, Session, Version};
@@ -13,30 +13,30 @@
 use citronway_core::time::{Mono, Now, Wall};
 use proptest::prelude::*;
 
-const SESSIONS: usize = 5;
-const START: u64 = 10_000;
+const SESSION_COUNT: usize = 5;
+const START_MS: u64 = 10_000;
 
-/// What happens to the hold in one step.
+/// Input of the hold in one step.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Time passes, then a tick.
+    /// Time passes, then the hold ticks.
     Tick { ms: u64 },
-    /// All who were asked promise, or all but one.
+    /// All asked sessions promise, except `silent` if it is the index of one.
     Promise { silent: usize },
-    /// A session is gone for good.
+    /// A session has ended for good.
     Gone { session: usize },
-    /// A row of others arrives.
+    /// A row with another epoch and other members is received.
     Row { dispatcher: usize },
-    /// Reads and writes are answered.
+    /// The store answers all reads and writes.
     Store,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (1_u64..120).prop_map(|ms| Step::Tick { ms }),
-        4 => (0..SESSIONS * 3).prop_map(|silent| Step::Promise { silent }),
-        1 => (1..SESSIONS).prop_map(|session| Step::Gone { session }),
-        1 => (0..SESSIONS).prop_map(|dispatcher| Step::Row { dispatcher }),
+        4 => (0..SESSION_COUNT * 3).prop_map(|silent| Step::Promise { silent }),
+        1 => (1..SESSION_COUNT).prop_map(|session| Step::Gone { session }),
+        1 => (0..SESSION_COUNT).prop_map(|dispatcher| Step::Row { dispatcher }),
         3 => Just(Step::Store),
     ];
     proptest::collection::vec(step, 20..200)
@@ -46,8 +46,8 @@
     Session::new(&format!("entry-{index}"), 1)
 }
 
-/// One hold with what it has asked of others.
-struct Walk {
+/// A hold, with the messages and store accesses that it has requested.
+struct Harness {
     hold: Hold,
     now: Now,
     version: Version,
@@ -58,14 +58,14 @@
     writes: Vec<(u64, DispatchRow)>,
 }
 
-impl Walk {
+impl Harness {
     fn new() -> Self {
         let endpoint = EndpointName::new("intake-1");
         Self {
             hold: Hold::new(session(0), endpoint, HoldSettings::default()),
             now: Now {
-                mono: Mono(START),
-                wall: Wall(START),
+                mono: Mono(START_MS),
+                wall: Wall(START_MS),
             },
             version: Version(0),
             epoch: Epoch(0),
@@ -82,9 +82,9 @@
             Step::Promise { silent } => self.promise(*silent),
             Step::Gone { session: index } => {
                 let session = session(*index);
-                self.tell(&HoldEvent::Gone { session });
+                self.apply(&HoldEvent::Gone { session });
             }
-            Step::Row { dispatcher } => self.foreign_row(*dispatcher),
+            Step::Row { dispatcher } => self.receive_other_row(*dispatcher),
             Step::Store => self.answer_store(),
         }
     }
@@ -92,18 +92,18 @@
     fn tick(&mut self, ms: u64) {
         self.now.mono = self.now.mono.plus(ms);
         self.now.wall = self.now.wall.plus(ms);
-        let candidates: Vec<Session> = (0..SESSIONS).map(session).collect();
-        let wants = self.hold.needs_candidates(self.now);
+        let candidates: Vec<Session> = (0..SESSION_COUNT).map(session).collect();
+        let needs = self.hold.needs_candidates(self.now);
         let mut without = self.hold.clone();
         let actions = self
             .hold
             .tick(&candidates, EndpointReach::Reached, self.now);
-        if !wants {
-            let bare = without.tick(&[], EndpointReach::Reached, self.now);
-            assert_eq!(actions, bare, "candidates made a difference");
+        if !needs {
+            let actions_without = without.tick(&[], EndpointReach::Reached, self.now);
+            assert_eq!(actions, actions_without, "actions depend on the candidates");
             assert_eq!(format!("{:?}", self.hold), format!("{without:?}"));
         }
-        self.note(actions);
+        self.record(actions);
     }
 
     fn promise(&mut self, silent: usize) {
@@ -112,14 +112,14 @@
                 continue;
             }
             let message = HoldMessage::Promise { epoch, round };
-            self.tell(&HoldEvent::Message { from, message });
+            self.apply(&HoldEvent::Message { from, message });
         }
     }
 
-    fn foreign_row(&mut self, dispatcher: usize) {
+    fn receive_other_row(&mut self, dispatcher: usize) {
         self.epoch = self.epoch.next();
-        let next = |step: usize| session((dispatcher + step) % SESSIONS);
-        self.stand(DispatchRow {
+        let next = |step: usize| session((dispatcher + step) % SESSION_COUNT);
+        self.store_row(DispatchRow {
             endpoint: EndpointName::new("intake-1"),
             dispatcher: session(dispatcher),
             epoch: self.epoch,
@@ -129,12 +129,12 @@
         });
     }
 
-    fn stand(&mut self, row: DispatchRow) {
+    fn store_row(&mut self, row: DispatchRow) {
         self.version = self.version.next();
         self.epoch = self.epoch.max(row.epoch);
         self.row = Some(row.clone());
         let version = self.version;
-        self.tell(&HoldEvent::Row { version, row });
+        self.apply(&HoldEvent::Row { version, row });
     }
 
     fn answer_store(&mut self) {
@@ -146,22 +146,22 @@
                 },
                 None => ReadOutcome::Absent,
             };
-            self.tell(&HoldEvent::ReadDone { read, outcome });
+            self.apply(&HoldEvent::ReadDone { read, outcome });
         }
         for (write, row) in std::mem::take(&mut self.writes) {
             let versions = vec![self.version.next()];
             let outcome = WriteOutcome::Done { versions };
-            self.tell(&HoldEvent::WriteDone { write, outcome });
-            self.stand(row);
+            self.apply(&HoldEvent::WriteDone { write, outcome });
+            self.store_row(row);
         }
     }
 
-    fn tell(&mut self, event: &HoldEvent) {
+    fn apply(&mut self, event: &HoldEvent) {
         let actions = self.hold.apply(event, self.now);
-        self.note(actions);
+        self.record(actions);
     }
 
-    fn note(&mut self, actions: Vec<HoldAction>) {
+    fn record(&mut self, actions: Vec<HoldAction>) {
         for action in actions {
             match action {
                 HoldAction::Send {
@@ -179,9 +179,9 @@
 proptest! {
     #[test]
     fn unwanted_candidates_make_no_difference(steps in steps()) {
-        let mut walk = Walk::new();
+        let mut harness = Harness::new();
         for step in &steps {
-            walk.step(step);
+            harness.step(step);
         }
     }
 }
--- a/crates/citronway-core/tests/hold_list.rs
+++ b/crates/citronway-core/tests/hold_list.rs
@@ -1,4 +1,4 @@
-//! The list of successors that a dispatcher keeps.
+//! The list of successors that a dispatcher maintains.
 
 use citronway_core::hold::{EndpointReach, Hold, HoldAction, HoldEvent, HoldSettings, ReadOutcome};
 use citronway_core::ids::{EndpointName, Epoch, Session, Version};
@@ -9,13 +9,13 @@
 use googletest::prelude::*;
 
 /// A dispatcher whose successors promise at once and whose store always answers.
-struct Desk {
+struct Harness {
     hold: Hold,
     version: Version,
     row: DispatchRow,
 }
 
-impl Desk {
+impl Harness {
     fn answer(&mut self, action: &HoldAction) -> Option<HoldEvent> {
         Some(match action {
             HoldAction::Send {
@@ -56,7 +56,7 @@
         })
     }
 
-    fn feed(&mut self, event: HoldEvent, now: Now) {
+    fn apply(&mut self, event: HoldEvent, now: Now) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             for action in self.hold.apply(&event, now) {
@@ -66,10 +66,10 @@
     }
 }
 
-/// Three instances start together and one dispatches with a single successor.
-/// It takes a second one in. The row then named the same session twice, and the
-/// third instance was never asked: the loss of one successor's instance was the
-/// loss of both. The nominee was kept after it had been listed.
+/// A dispatcher with a single successor adds a second one. Failure guarded against:
+/// the nominee stays nominated after it was listed, so the row names one session
+/// twice and the third instance is never asked. The loss of one instance is then
+/// the loss of both successors.
 #[gtest]
 fn a_listed_nominee_is_not_listed_again() {
     let me = Session::new("n1", 1);
@@ -82,7 +82,7 @@
         floor: Wall(0),
     };
     let hold = Hold::new(me.clone(), EndpointName::new("e1"), HoldSettings::default());
-    let mut desk = Desk {
+    let mut harness = Harness {
         hold,
         version: Version(1),
         row: row.clone(),
@@ -93,7 +93,7 @@
         mono: Mono(10_000),
         wall: Wall(10_000),
     };
-    desk.feed(
+    harness.apply(
         HoldEvent::Row {
             version: Version(1),
             row,
@@ -109,10 +109,10 @@
             candidates: candidates.to_vec(),
             reach: EndpointReach::Reached,
         };
-        desk.feed(tick, now);
+        harness.apply(tick, now);
     }
     expect_that!(
-        desk.row.successors,
+        harness.row.successors,
         unordered_elements_are![eq(&others[0]), eq(&others[1])]
     );
 }
--- a/crates/citronway-core/tests/hold_machine.rs
+++ b/crates/citronway-core/tests/hold_machine.rs
@@ -1,4 +1,5 @@
-//! Single decisions of a hold that a replay of whole worlds does not single out.
+//! Single decisions of a hold that a simulation of several instances does not
+//! isolate.
 
 use citronway_core::hold::{EndpointReach, Hold, HoldAction, HoldEvent, HoldSettings, ReadOutcome};
 use citronway_core::ids::{EndpointName, Epoch, Session, Version};
@@ -31,7 +32,7 @@
     }
 }
 
-/// The hold of `session` once it knows the row, at 1,000 ms.
+/// The hold of session `index`, which knows the row since 1,000 ms.
 fn hold(index: u64) -> Hold {
     let endpoint = EndpointName::new(ENDPOINT);
     let mut hold = Hold::new(session(index), endpoint, HoldSettings::default());
@@ -62,9 +63,9 @@
     writes.count()
 }
 
-// A successor is paused for two seconds and runs on. The store answers before it
-// gets to the questions in its socket. Taking over at once would move the role
-// away from a dispatcher that was there all the time.
+// A successor is paused for two seconds. After that the store answers before the
+// successor handles the promise requests in its socket. Failure guarded against: it
+// takes over at once from a dispatcher that was active all the time.
 #[gtest]
 fn a_successor_listens_after_a_pause() {
     let mut hold = hold(1);
@@ -78,8 +79,9 @@
     expect_that!(writes(&tick(&mut hold, 3_020)), eq(0));
 }
 
-// The dispatcher's offer comes twice. The successor declined the first one, the
-// dispatcher went on; taking the second one would put a second one beside it.
+// An offer is delivered twice. The successor declines the first copy, and the
+// dispatcher resumes. Failure guarded against: the successor accepts the second
+// copy and acts at the same time as the dispatcher.
 #[gtest]
 fn a_declined_offer_stays_declined() {
     let mut hold = hold(1);
@@ -95,8 +97,8 @@
     expect_that!(writes(&again), eq(0));
 }
 
-// The dispatcher hands over and stops; its successor must write at once, and the
-// promise it gave must not hold it up.
+// The dispatcher hands over and stops. Its successor writes at once, without
+// waiting for the promise that it gave to expire.
 #[gtest]
 fn an_offer_ends_the_promise() {
     let mut hold = hold(1);
@@ -111,8 +113,8 @@
     expect_that!(writes(&taken), eq(1));
 }
 
-// A trace recorded by one process must give the same decisions when replayed
-// elsewhere, so events survive being written as JSON.
+// A trace recorded by one process gives the same decisions when another one replays
+// it, so events keep their content when written as JSON.
 #[gtest]
 fn events_and_actions_survive_json() {
     let event = HoldEvent::Message {
@@ -136,9 +138,9 @@
     }
 }
 
-// Promises are half a second under way. Their givers count from when they answered,
-// which the dispatcher cannot know; had it counted from receipt, a successor could
-// take over while it still acts.
+// Promises arrive half a second late. Their givers count from when they answered,
+// which the dispatcher cannot know. Failure guarded against: the dispatcher counts
+// from receipt and still acts when a successor takes over.
 #[gtest]
 fn a_promise_counts_from_before_its_question() {
     let mut hold = hold(0);
@@ -150,9 +152,9 @@
     expect_that!(hold.may_act(at(1_820)), none());
 }
 
-// An endpoint is new and has no row. Until somebody creates it nobody serves its
-// keys; the store's word that there is none has to come first, for an outage
-// looks the same from here.
+// A new endpoint has no row, and its keys are not served until an instance creates
+// one. A failed read does not suffice, since the store may be down: it must answer
+// that the row does not exist.
 #[gtest]
 fn the_first_candidate_creates_a_missing_row() {
     let endpoint = EndpointName::new(ENDPOINT);
--- a/crates/citronway-core/tests/hold_traces.rs
+++ b/crates/citronway-core/tests/hold_traces.rs
@@ -1,4 +1,4 @@
-//! Replays the hold's traces and compares them with the stated outcomes.
+//! Replays the hold's traces and compares their outcomes with the expected ones.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 fn traces() -> Vec<PathBuf> {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/traces");
     let mut paths = Vec::new();
-    for entry in fs::read_dir(dir).expect("traces are there") {
+    for entry in fs::read_dir(dir).expect("directory of traces is readable") {
         let path = entry.expect("entry is readable").path();
         let name = path.file_name().unwrap_or_default().to_string_lossy();
         if name.starts_with("hold-") && name.ends_with(".jsonl") {
@@ -25,7 +25,7 @@
     replay(&text).expect("trace is well formed")
 }
 
-fn named(name: &str) -> HoldOutcome {
+fn outcome_of_named(name: &str) -> HoldOutcome {
     let paths = traces();
     let path = paths
         .iter()
@@ -33,47 +33,49 @@
     outcome_of(path.expect("trace exists"))
 }
 
-// Each trace begins with its story. A user would see a booking run twice if two
-// sessions acted at once, and no answers at all while nobody acts; the stated
-// outcome says who may act when, and what became of the row.
+// The header of each trace says what it shows. Failures guarded against: a request
+// runs twice because two sessions act at the same time, or no request is answered
+// because no session acts. The expected outcome states who may act when, and the
+// final row.
 #[gtest]
 fn traces_have_the_stated_outcomes() {
     for path in traces() {
         let outcome = outcome_of(&path);
         expect_that!(outcome.broken, none(), "{}", path.display());
-        let stated = fs::read_to_string(path.with_extension("expected.json"));
-        let stated = stated.expect("outcome is stated");
-        let stated: HoldOutcome = serde_json::from_str(&stated).expect("outcome is well formed");
-        expect_that!(outcome, eq(&stated), "{}", path.display());
+        let expected = fs::read_to_string(path.with_extension("expected.json"));
+        let expected = expected.expect("expected outcome is readable");
+        let expected: HoldOutcome =
+            serde_json::from_str(&expected).expect("expected outcome is well formed");
+        expect_that!(outcome, eq(&expected), "{}", path.display());
     }
 }
 
-// The store is down for seven seconds. Users must see nothing of it, so the hold
-// must not depend on the store while nothing changes.
+// The store is down for seven seconds. Callers must not notice, so the hold must
+// not access the store while nothing changes.
 #[gtest]
 fn steady_state_makes_no_store_access() {
-    let outcome = named("store-down");
+    let outcome = outcome_of_named("store-down");
     expect_that!(outcome.store_reads, eq(0));
     expect_that!(outcome.store_writes, eq(0));
     expect_that!(outcome.acting, len(eq(1)));
 }
 
-// A dispatcher is killed, paused or cut off. Its endpoint's keys are not served
-// until a successor acts, which users are to see for 1.2 s at most.
+// A dispatcher is killed, paused or cut off. The keys of its endpoint are not
+// served until a successor acts, which must take at most 1.2 s.
 #[gtest]
 fn a_lost_dispatcher_is_replaced_in_time() {
     for name in ["killed", "paused-past-its-lease", "cut-both-ways"] {
-        let outcome = named(name);
+        let outcome = outcome_of_named(name);
         expect_that!(outcome.longest_gap_ms, le(1_200), "{name}");
         expect_that!(outcome.acting, len(ge(2)), "{name}");
     }
 }
 
-// A process shuts down for a release. Users must not see a gap as after a crash,
-// so the successor takes the role without waiting for promises to lapse.
+// A process shuts down for a release. There must be no gap as after a crash, so the
+// successor takes the role without waiting for promises to expire.
 #[gtest]
 fn a_handover_waits_for_no_promise() {
-    let outcome = named("handed-over");
+    let outcome = outcome_of_named("handed-over");
     let ended = outcome.acting[0].until;
     let begun = outcome.acting[1].from;
     expect_that!(begun - ended, le(100));
@@ -81,14 +83,14 @@
 
 #[gtest]
 fn a_bad_line_is_reported_with_its_number() {
-    let bad = "{\"seed\":1}\n{\"at\":1,\"do\":\"dance\"}";
-    let error = replay(bad).expect_err("dance is no fault");
+    let trace = "{\"seed\":1}\n{\"at\":1,\"do\":\"dance\"}";
+    let error = replay(trace).expect_err("`dance` is not a fault");
     expect_that!(error, pat!(ReplayError::Line { line: eq(&2), .. }));
 }
 
 #[gtest]
 fn a_fault_of_an_unknown_instance_is_refused() {
-    let bad = "{\"instances\":3}\n{\"at\":1,\"do\":\"crash\",\"node\":3}";
-    let error = replay(bad).expect_err("there is no instance 3");
+    let trace = "{\"instances\":3}\n{\"at\":1,\"do\":\"crash\",\"node\":3}";
+    let error = replay(trace).expect_err("there is no instance 3");
     expect_that!(error, pat!(ReplayError::NoInstance { node: eq(&3), .. }));
 }
--- a/crates/citronway-core/tests/hold_walk.rs
+++ b/crates/citronway-core/tests/hold_walk.rs
@@ -1,5 +1,5 @@
-//! Random interleavings of holds: no second dispatcher, nothing goes back, and
-//! service returns when the faults stop.
+//! Random interleavings of holds and faults: there is never a second dispatcher, no
+//! epoch or version decreases, and a session acts again when the faults end.
 
 use citronway_core::hold::simulation::{Fault, Header, HoldOutcome, TimedFault, replay_script};
 use citronway_core::hold::{EndpointReach, HandOverReason};
@@ -8,7 +8,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseResult, TestRng, TestRunner};
 
 const INSTANCES: usize = 4;
-const MENDED_MS: u64 = 8_000;
+const RECOVERY_MS: u64 = 8_000;
 const END_MS: u64 = 16_000;
 
 fn node() -> std::ops::Range<usize> {
@@ -52,15 +52,15 @@
 }
 
 fn faults() -> impl Strategy<Value = Vec<TimedFault>> {
-    let timed = (300_u64..MENDED_MS, fault()).prop_map(|(at, fault)| TimedFault { at, fault });
+    let timed = (300_u64..RECOVERY_MS, fault()).prop_map(|(at, fault)| TimedFault { at, fault });
     proptest::collection::vec(timed, 0..20)
 }
 
-/// Mends everything and makes sure that somebody is alive.
-fn with_end(mut faults: Vec<TimedFault>) -> Vec<TimedFault> {
-    let start = Fault::Restart { node: 3 };
-    for fault in [start, Fault::MendAll] {
-        let at = MENDED_MS;
+/// Restarts one instance, so that at least one is alive, and ends all other faults.
+fn with_recovery(mut faults: Vec<TimedFault>) -> Vec<TimedFault> {
+    let restart = Fault::Restart { node: 3 };
+    for fault in [restart, Fault::MendAll] {
+        let at = RECOVERY_MS;
         faults.push(TimedFault { at, fault });
     }
     faults
@@ -69,15 +69,15 @@
 fn check(outcome: &HoldOutcome) -> TestCaseResult {
     prop_assert_eq!(&outcome.broken, &None);
     let last = outcome.acting.last();
-    let acts = last.is_some_and(|it| it.until + 100 >= END_MS);
-    prop_assert!(acts, "nobody acts at the end: {:?}", outcome);
+    let is_acting = last.is_some_and(|it| it.until + 100 >= END_MS);
+    prop_assert!(is_acting, "no session acts at the end: {:?}", outcome);
     Ok(())
 }
 
-// What a user would see: a booking is run twice because two instances send it to
-// the endpoint's server, or no request is answered although all is well again.
-// The order is left to chance: crashes, restarts, pauses, cuts, store outages,
-// late writes and lost answers, under clocks at the edge of what is allowed.
+// Failures guarded against: a request runs twice because two instances send it to
+// the endpoint, or no request is answered although all faults have ended. Crashes,
+// restarts, pauses, cut links, store outages, late writes and lost answers come in
+// random order, with clocks at their permitted bounds.
 #[test]
 fn no_second_dispatcher_in_random_interleavings() {
     let config = Config {
@@ -88,7 +88,7 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let result = runner.run(&(header(), faults()), |(header, faults)| {
-        let outcome = replay_script(&header, &with_end(faults)).expect("nodes are in range");
+        let outcome = replay_script(&header, &with_recovery(faults)).expect("nodes are in range");
         check(&outcome)
     });
     if let Err(error) = result {
--- a/crates/citronway-core/tests/hotkeys_sketch.rs
+++ b/crates/citronway-core/tests/hotkeys_sketch.rs
@@ -1,4 +1,4 @@
-//! Bounds of the sketch of hot keys, for any stream of keys.
+//! Error bounds of the sketch of hot keys for random streams of keys.
 
 use citronway_core::hotkeys::HotKeys;
 use googletest::prelude::*;
@@ -6,11 +6,12 @@
 use proptest::prelude::prop_assert;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 
-/// Keys that the stream is made of; low ones are more frequent.
+/// Number of distinct keys in a stream; low keys are more frequent.
 const KEYS: u64 = 200;
 
-/// A key that is asked for often is missing, or is reported with requests that
-/// others made: a cool key would get its own shard and the hot one not.
+/// Failures guarded against: a frequent key is missing, or a key is reported with
+/// the requests of other keys. A cool key would then get its own shard, and the hot
+/// one would not.
 #[test]
 fn counts_are_off_by_no_more_than_one_part_in_the_counters() {
     let mut runner = TestRunner::new(Config {
