--- a/crates/citronway-core/src/hold/dispatcher.rs
+++ b/crates/citronway-core/src/hold/dispatcher.rs
@@ -209,12 +209,12 @@
         let removal_timeout_ms = self.cfg.suspicion_ms + self.cfg.ask_interval_ms;
         let absent = state.is_absent(lost);
         let others = known.row.successors.iter().filter(|it| *it != lost);
-        let heard = others
+        let hears_others = others
             .clone()
             .any(|it| state.silent_ms(it, now.mono) < self.cfg.suspicion_ms);
-        let waited = state.silent_ms(lost, now.mono) >= removal_timeout_ms;
+        let timed_out = state.silent_ms(lost, now.mono) >= removal_timeout_ms;
         let nominated = state.nominee.is_some();
-        if (absent && !nominated) || (waited && heard) {
+        if (absent && !nominated) || (timed_out && hears_others) {
             self.change_list(need, None, now, out);
         }
     }
--- a/crates/citronway-core/src/hold/gone_sessions.rs
+++ b/crates/citronway-core/src/hold/gone_sessions.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Default)]
 struct Watched {
     /// When the reading of the first list began that did not show the instance,
-    /// `None` if the last list showed it.
+    /// `None` if the last list showed it or no list was handled yet.
     missing_since: Option<Mono>,
 }
 
--- a/crates/citronway-core/src/hold/pending.rs
+++ b/crates/citronway-core/src/hold/pending.rs
@@ -23,7 +23,7 @@
     /// When the write was last submitted.
     pub submitted: Mono,
     /// Whether the latest submission has not been reported yet.
-    pub waiting: bool,
+    pub awaiting_report: bool,
     /// Whether a submission ended without a clear answer and may still take effect.
     pub outcome_unknown: bool,
 }
--- a/crates/citronway-core/src/hold/simulation/invariants.rs
+++ b/crates/citronway-core/src/hold/simulation/invariants.rs
@@ -21,7 +21,7 @@
     pub fn check_nodes(&mut self, nodes: &mut [Node], at: u64) {
         let mut acting = None;
         for node in nodes {
-            if node.version_regressed() {
+            if node.has_version_regressed() {
                 self.record_violation(Violation::Version { at });
             }
             let Some(epoch) = node.active_epoch(at) else {
--- a/crates/citronway-core/src/hold/simulation/node.rs
+++ b/crates/citronway-core/src/hold/simulation/node.rs
@@ -54,7 +54,7 @@
     /// Delay of the next write to the store, in milliseconds.
     pub delay_write_ms: u64,
     pub lose_answer: bool,
-    /// Newest row version that the hold has known.
+    /// Version of the hold's known row at the latest check, 0 before the first row.
     pub version: Version,
 }
 
@@ -99,11 +99,11 @@
     }
 
     /// Whether the hold's known row is older than at the previous call.
-    pub fn version_regressed(&mut self) -> bool {
+    pub fn has_version_regressed(&mut self) -> bool {
         let version = self.hold.known_row().map_or(Version(0), |it| it.0);
-        let back = version < self.version;
+        let regressed = version < self.version;
         self.version = version;
-        back
+        regressed
     }
 }
 
--- a/crates/citronway-core/src/hold/store.rs
+++ b/crates/citronway-core/src/hold/store.rs
@@ -38,7 +38,7 @@
             return out;
         };
         if write == self.last_write {
-            pending.waiting = false;
+            pending.awaiting_report = false;
         }
         match outcome {
             WriteOutcome::Done { versions } => {
@@ -82,7 +82,7 @@
         let waited_ms = now.mono.since(submitted);
         // The write may have taken effect although its answer is lost. A read of
         // the row shows it before the call times out.
-        if pending.waiting {
+        if pending.awaiting_report {
             if waited_ms >= self.cfg.ask_interval_ms / 2 {
                 self.read_row(now, out);
             }
@@ -109,7 +109,7 @@
             expected,
             row,
             submitted: now.mono,
-            waiting: false,
+            awaiting_report: false,
             outcome_unknown: false,
         });
         self.submit_write(now, out);
@@ -121,7 +121,7 @@
         };
         self.last_write += 1;
         pending.submitted = now.mono;
-        pending.waiting = true;
+        pending.awaiting_report = true;
         out.push(HoldAction::Write {
             write: self.last_write,
             expected: pending.expected,
