--- a/crates/citronway-core/src/hold/mod.rs
+++ b/crates/citronway-core/src/hold/mod.rs
@@ -63,7 +63,7 @@
 }
 
 /// A promise that this session has given to a dispatcher. It is binding until it
-/// expires.
+/// expires or the dispatcher hands over.
 #[derive(Debug, Clone)]
 struct GivenPromise {
     epoch: Epoch,
--- a/crates/citronway-core/src/hold/simulation/invariants.rs
+++ b/crates/citronway-core/src/hold/simulation/invariants.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub(super) struct InvariantChecker {
     pub intervals: Vec<ActiveInterval>,
-    pub broken: Option<Violation>,
+    pub violation: Option<Violation>,
     /// Epochs that ended with a handover, after which no new floor is needed.
     pub handed_over: Vec<Epoch>,
     longest_gap_ms: u64,
@@ -67,7 +67,7 @@
 
     /// Records a violation; only the first one is kept.
     pub fn record_violation(&mut self, violation: Violation) {
-        self.broken.get_or_insert(violation);
+        self.violation.get_or_insert(violation);
     }
 
     /// Longest time in which no session could act, up to `at`, in milliseconds.
--- a/crates/citronway-core/src/hold/simulation/run.rs
+++ b/crates/citronway-core/src/hold/simulation/run.rs
@@ -118,7 +118,7 @@
             former: row.former,
             store_reads: self.store.reads,
             store_writes: self.store.writes,
-            broken: self.invariants.broken,
+            broken: self.invariants.violation,
         }
     }
 
@@ -224,9 +224,9 @@
 /// Returns a clock with a random rate and skew within the bounds of the settings.
 fn random_clock(header: &Header, rng: &mut SplitMix64) -> Clock {
     let settings = &header.settings;
-    let side = settings.clock_rate_error_ppm / RATE_ERROR_DIVISOR;
+    let max_rate_error = settings.clock_rate_error_ppm / RATE_ERROR_DIVISOR;
     Clock {
-        rate_per_million: MILLION - side + rng.between(0, 2 * side),
+        rate_per_million: MILLION - max_rate_error + rng.between(0, 2 * max_rate_error),
         skew_ms: rng.between(0, settings.skew_bound_ms),
         origin_ms: rng.between(10_000, 99_999),
     }
