--- a/crates/citronway-core/tests/gateway_service_limit.rs
+++ b/crates/citronway-core/tests/gateway_service_limit.rs
@@ -46,7 +46,7 @@
             },
         );
     }
-    let mut view = View::nothing(ZoneName::new(["a", "b", "c"][rank % 3]), rank as u64);
+    let mut view = View::empty(ZoneName::new(["a", "b", "c"][rank % 3]), rank as u64);
     view.registry = Arc::new(registry);
     view.instances = u32::try_from(INSTANCES).unwrap();
     view
@@ -120,13 +120,13 @@
             repeat: Repeat::AtMostOnce,
             arrived: now,
             objective_at: now.plus(300),
-            last_at: now.plus(1_200),
-            caller_until: now.plus(2_500),
+            deadline: now.plus(1_200),
+            caller_deadline: now.plus(2_500),
             work_ms: WORK_MS,
             answer_bytes: 400,
             tried: Vec::new(),
         };
-        match self.admissions[i].arrive(now, &self.views[i], job.clone()) {
+        match self.admissions[i].submit(now, &self.views[i], job.clone()) {
             Some(Decision::Send(choice)) => self.send(now, i, choice),
             Some(Decision::Refuse(_)) => {}
             None => self.jobs[i].push(job),
@@ -135,7 +135,7 @@
 
     fn pump(&mut self, now: Mono) {
         for i in 0..INSTANCES {
-            for (ticket, decision) in self.admissions[i].pump(now, &self.views[i]) {
+            for (ticket, decision) in self.admissions[i].decide_waiting(now, &self.views[i]) {
                 self.jobs[i].retain(|job| job.ticket != ticket);
                 if let Decision::Send(choice) = decision {
                     self.send(now, i, choice);
@@ -151,9 +151,9 @@
         if endpoint.running.len() == SLOTS && endpoint.waiting.len() == QUEUE {
             self.counted.reset += 1;
             let admission = &mut self.admissions[instance];
-            admission.finished(&choice.endpoint);
-            admission.reset(now, &choice.endpoint);
-            admission.turned_away(now, &self.views[instance], &service());
+            admission.record_finished(&choice.endpoint);
+            admission.record_reset(now, &choice.endpoint);
+            admission.record_rejection(now, &self.views[instance], &service());
             return;
         }
         endpoint.waiting.push(Sent {
@@ -194,9 +194,9 @@
             slots: u32::try_from(SLOTS).unwrap(),
         };
         let admission = &mut self.admissions[sent.instance];
-        admission.finished(&sent.choice.endpoint);
-        admission.answered(now, &sent.choice, None);
-        admission.load_told(&self.views[sent.instance], &service(), Some(load));
+        admission.record_finished(&sent.choice.endpoint);
+        admission.record_answer(now, &sent.choice, None);
+        admission.record_load(&self.views[sent.instance], &service(), Some(load));
     }
 }
 
@@ -243,18 +243,18 @@
     let free = EndpointLoad { waiting: 0, ..full };
     let mut limit = ServiceLimit::default();
     for _ in 0..200 {
-        limit.answered(Some(full), 3);
+        limit.record_answer(Some(full), 3);
     }
     expect_that!(limit.limit(), eq(1.0));
     expect_that!(limit.has_room(0, 0.5), eq(true));
     expect_that!(limit.has_room(1, 0.5), eq(false));
     for _ in 0..100 {
-        limit.answered(Some(free), 300);
+        limit.record_answer(Some(free), 300);
     }
     expect_that!(limit.limit(), gt(5.0));
     // One that is not used says nothing.
     let before = limit.limit();
-    limit.answered(Some(free), 0);
+    limit.record_answer(Some(free), 0);
     expect_that!(limit.limit(), eq(before));
 }
 
@@ -263,12 +263,12 @@
 fn an_instance_with_many_requests_is_not_held_back() {
     let mut limit = ServiceLimit::default();
     expect_that!(limit.has_room(300, 0.5), eq(true));
-    limit.turned_away(Mono(1_000), 300);
+    limit.record_rejection(Mono(1_000), 300);
     let after = limit.limit();
     expect_that!(after, all!(gt(200.0), lt(301.0)));
     // Within a thousand answers, seconds of its traffic, it has grown by several requests.
     for _ in 0..1_000 {
-        limit.answered(None, 300);
+        limit.record_answer(None, 300);
     }
     expect_that!(limit.limit(), gt(after + 8.0));
 }
--- a/crates/citronway-core/tests/tree_world/mod.rs
+++ b/crates/citronway-core/tests/tree_world/mod.rs
@@ -2,11 +2,13 @@
 
 use std::net::SocketAddr;
 
-use citronway_core::gateway::crashes::{Fingerprint, Ledger, Outbox, Sign, Taken};
+use citronway_core::gateway::crashes::{Fingerprint, Ledger, Sign, SignQueue, SignReceiver};
 use citronway_core::gateway::election::Strength;
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::gateway::report::{Report, Totals, Versions};
-use citronway_core::gateway::tree::{Branch, Candidate, Place, Role, TELL_MS, Tree};
+use citronway_core::gateway::tree::{
+    Branch, Candidate, Role, TOTALS_INTERVAL_MS, Tree, TreePosition,
+};
 use citronway_core::ids::{InstanceName, Session, SessionId, ZoneName};
 use citronway_core::time::Mono;
 use indexmap::{IndexMap, IndexSet};
@@ -37,15 +39,15 @@
 struct Instance {
     name: InstanceName,
     zone: ZoneName,
-    place: Place,
+    place: TreePosition,
     told: Mono,
     up: bool,
     heard: IndexMap<usize, Mono>,
     phase_ms: u64,
     count: usize,
     ledger: Ledger,
-    outbox: Outbox,
-    taken: Taken,
+    outbox: SignQueue,
+    taken: SignReceiver,
 }
 
 pub struct World {
@@ -80,15 +82,15 @@
         let all = (0..instances).map(|i| Instance {
             name: InstanceName::new(&format!("instance-{i}")),
             zone: ZoneName::new(&format!("zone-{}", i % ZONES)),
-            place: Place::default(),
+            place: TreePosition::default(),
             told: Mono(1_000),
             up: true,
             heard: IndexMap::new(),
             phase_ms: rng.random_range(0..LOOK_MS / STEP_MS) * STEP_MS,
             count: 0,
             ledger: Ledger::default(),
-            outbox: Outbox::default(),
-            taken: Taken::default(),
+            outbox: SignQueue::default(),
+            taken: SignReceiver::default(),
         });
         Self {
             now: Mono(1_000),
@@ -212,14 +214,15 @@
         let endpoint = EndpointTag(endpoint);
         let sign = Sign::Crash { work, endpoint };
         let one = &mut self.all[instance];
-        one.ledger.take(self.now, sign);
+        one.ledger.apply(self.now, sign);
         one.outbox.push(sign);
     }
 
     /// Instances that are up and do not refuse work.
     pub fn sending(&self, work: Fingerprint) -> usize {
         let up = self.all.iter().filter(|one| one.up);
-        up.filter(|one| !one.ledger.refuses(self.now, work)).count()
+        up.filter(|one| !one.ledger.is_refused(self.now, work))
+            .count()
     }
 
     pub fn kill(&mut self, instance: usize) {
@@ -231,7 +234,7 @@
         let one = &mut self.all[instance];
         one.up = true;
         one.told = now;
-        one.place = Place::default();
+        one.place = TreePosition::default();
         one.heard.clear();
     }
 
@@ -246,7 +249,7 @@
     fn step(&mut self) {
         self.now = self.now.plus(STEP_MS);
         self.deliver();
-        if self.now.0.is_multiple_of(TELL_MS) {
+        if self.now.0.is_multiple_of(TOTALS_INTERVAL_MS) {
             self.tell();
         }
         for instance in 1..self.all.len() {
@@ -287,8 +290,8 @@
         match message {
             Message::Report(members, report) if link.to == 0 => {
                 let one = &mut self.all[0];
-                for sign in one.taken.fresh(&report) {
-                    one.ledger.take(now, *sign);
+                for sign in one.taken.new_signs(&report) {
+                    one.ledger.apply(now, *sign);
                 }
                 self.directly.insert(link.from, now);
                 for (instance, at) in members.into_iter().chain([(link.from, now)]) {
@@ -299,19 +302,19 @@
             Message::Report(_, report) => {
                 let one = &mut self.all[link.to];
                 one.heard.insert(link.from, now);
-                for sign in one.taken.fresh(&report) {
-                    one.ledger.take(now, *sign);
+                for sign in one.taken.new_signs(&report) {
+                    one.ledger.apply(now, *sign);
                     one.outbox.push(*sign);
                 }
             }
             Message::Totals(mut totals) => {
                 let one = &mut self.all[link.to];
-                if !one.place.told(now, &totals, address(link.from)) {
+                if !one.place.accept_totals(now, &totals, address(link.from)) {
                     return;
                 }
                 one.told = now;
                 for refused in &totals.refused {
-                    one.ledger.told(now, *refused);
+                    one.ledger.apply_refused(now, *refused);
                 }
                 let members = std::mem::take(&mut totals.members);
                 for member in members {
@@ -332,7 +335,7 @@
                 heard: self.heard.get(&i).copied(),
                 heard_directly: self.directly.get(&i).copied(),
                 strength: Strength(if i < 15 { 1_000 } else { 200 }),
-                stays: true,
+                is_staying: true,
             })
             .collect();
         self.branches = self.tree.plan(self.now, &candidates);
@@ -373,7 +376,7 @@
             Role::Delegate(to) => (to, LOOK_MS),
         };
         let looks = since.is_multiple_of(LOOK_MS);
-        let is_due = since.is_multiple_of(period_ms) || (looks && one.outbox.has_news());
+        let is_due = since.is_multiple_of(period_ms) || (looks && one.outbox.has_unsent());
         if !is_due {
             return;
         }
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -1,15 +1,17 @@
 //! The leader's duty on this instance: claiming it, and keeping while it has it.
 
 use citronway_core::gateway::assignment::{Assignment, RowError};
-use citronway_core::gateway::cold::{self, Office};
-use citronway_core::gateway::election::{self, Former, LeaderRow, PeerSight, Situation, Strength};
+use citronway_core::gateway::cold::{self, LeaderStanding};
+use citronway_core::gateway::election::{
+    self, ElectionView, FormerLeader, LeaderRow, PeerState, Strength,
+};
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Order, OrderResult, Rivals, WriteResult,
+    Action, Leader, LeaderSettings, Order, OrderResult, PredecessorLimits, WriteResult,
 };
 use citronway_core::gateway::report::Report;
 use citronway_core::ids::{ServiceName, Session, Version};
 use citronway_core::time::Mono;
-use citronway_platform::store::Change;
+use citronway_platform::store::ConditionalWrite;
 use indexmap::IndexMap;
 
 use super::cluster::Cluster;
@@ -33,7 +35,7 @@
 pub(super) struct RowWrite {
     pub service: ServiceName,
     pub row: Assignment,
-    pub change: Change,
+    pub change: ConditionalWrite,
 }
 
 /// What is due.
@@ -41,7 +43,7 @@
 pub(super) struct Due {
     pub orders: Vec<Order>,
     pub writes: Vec<RowWrite>,
-    pub claim: Option<Change>,
+    pub claim: Option<ConditionalWrite>,
     /// How long to wait at the store for changes, in milliseconds.
     pub wait_ms: u64,
 }
@@ -66,7 +68,7 @@
     claimed: Option<(Version, Mono)>,
     cleared: bool,
     /// What earlier leaders may still do.
-    rivals: Rivals,
+    rivals: PredecessorLimits,
     /// Why this instance is not fit to lead, as it was last logged.
     unfit_for: Option<&'static str>,
 }
@@ -88,7 +90,7 @@
             claim_after: Mono::default(),
             claimed: None,
             cleared: false,
-            rivals: Rivals::default(),
+            rivals: PredecessorLimits::default(),
             unfit_for: None,
         }
     }
@@ -152,12 +154,12 @@
     /// Which part of all sends to cold endpoints this leader grants now.
     pub(super) fn cold_part(&self, now: Mono) -> Option<f64> {
         let row = self.office.as_ref()?;
-        let office = Office {
-            contact: self.contact,
+        let office = LeaderStanding {
+            confirmed_at: self.contact,
             rivals: self.rivals,
-            earlier: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
+            earlier_leaders: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
         };
-        cold::granted_part(now, &self.cfg, &office)
+        cold::granted_share(now, &self.cfg, &office)
     }
 
     /// Version of the row by which this instance leads, while it does.
@@ -179,7 +181,7 @@
                 .entry(service.clone())
                 .or_insert_with(|| Leader::new(self.cfg, service.clone()));
             if owners.version > leader.version() {
-                leader.row_seen(owners.assignment.as_ref().clone(), owners.version);
+                leader.update_row(owners.assignment.as_ref().clone(), owners.version);
             }
         }
     }
@@ -244,17 +246,17 @@
         }
         self.rivals = self.rivals(now, cluster);
         for leader in self.leaders.values_mut() {
-            leader.begin(asked, self.rivals);
+            leader.begin_term(asked, self.rivals);
         }
     }
 
     /// What earlier leaders may still do, if none is known to have stopped.
-    fn rivals(&self, now: Mono, cluster: &Cluster) -> Rivals {
+    fn rivals(&self, now: Mono, cluster: &Cluster) -> PredecessorLimits {
         let former = self.office.as_ref().map_or(&[][..], |row| &row.former);
         let store_ms = cluster.store_ms(now);
         let claimed = self.claimed.map_or(now, |(_, at)| at);
-        let mut rivals = self.cfg.rivals(now);
-        rivals.hold_until = election::holds_until(now, &self.cfg, former, store_ms, claimed);
+        let mut rivals = self.cfg.predecessor_limits(now);
+        rivals.hold_until = election::former_holds_until(now, &self.cfg, former, store_ms, claimed);
         if former.is_empty() {
             rivals.connect_until = now;
         }
@@ -265,7 +267,7 @@
         log::info!(cause; "this instance no longer leads");
         self.office = None;
         for leader in self.leaders.values_mut() {
-            leader.end();
+            leader.end_term();
         }
     }
 
@@ -277,7 +279,7 @@
 
     pub(super) fn wrote(&mut self, now: Mono, service: &ServiceName, result: WriteResult) {
         if let Some(leader) = self.leaders.get_mut(service) {
-            leader.wrote(now, result);
+            leader.handle_write_result(now, result);
         }
     }
 
@@ -320,7 +322,7 @@
         for service in cluster.sharded() {
             self.leaders.entry(service.clone()).or_insert_with(|| {
                 let mut leader = Leader::new(self.cfg, service);
-                leader.begin(self.contact, Rivals::default());
+                leader.begin_term(self.contact, PredecessorLimits::default());
                 leader
             });
         }
@@ -352,16 +354,16 @@
             return;
         }
         let sights = cluster.peers.sights();
-        let stopped = |former: &Former| {
+        let stopped = |former: &FormerLeader| {
             former.session.instance == self.me.instance
                 || election::has_stopped(&former.session, office.term, &sights)
         };
         if office.former.iter().all(stopped) {
             self.cleared = true;
-            self.rivals = self.rivals.min(self.cfg.stopped_rivals(now));
+            self.rivals = self.rivals.min(self.cfg.stopped_predecessor_limits(now));
             log::info!(term = office.term; "earlier leaders have stopped");
             for leader in self.leaders.values_mut() {
-                leader.rival_stopped(now);
+                leader.predecessor_stopped(now);
             }
         }
     }
@@ -371,7 +373,7 @@
     /// Failure: an instance that kept is gone for good and never says that it has
     /// stopped. Left in the row, each later leader would wait for it anew before it
     /// gives the keys of a dead endpoint to another.
-    fn forget_former(&mut self, now: Mono) -> Option<Change> {
+    fn forget_former(&mut self, now: Mono) -> Option<ConditionalWrite> {
         let office = self
             .office
             .as_ref()
@@ -386,8 +388,8 @@
             .ok()?;
         self.claiming = true;
         self.claim_after = now.plus(CLAIM_PAUSE_MS);
-        Some(Change {
-            unless_changed: vec![(own_rows::LEADER_KEY.to_owned(), office.version)],
+        Some(ConditionalWrite {
+            preconditions: vec![(own_rows::LEADER_KEY.to_owned(), office.version)],
             put: vec![(own_rows::LEADER_KEY.to_owned(), value)],
         })
     }
@@ -397,9 +399,9 @@
         now: Mono,
         unfit: bool,
         cluster: &'a Cluster,
-        peers: &'a [PeerSight],
-    ) -> Situation<'a> {
-        Situation {
+        peers: &'a [PeerState],
+    ) -> ElectionView<'a> {
+        ElectionView {
             me: &self.me.instance,
             session: self.me.id,
             started: self.known_since,
@@ -411,7 +413,7 @@
             peers,
             standbys: cluster.peers.standbys(),
             instances: cluster.peers.listed(),
-            many: cluster.peers.are_many(now) || cluster.peers.was_told(),
+            is_large_fleet: cluster.peers.are_many(now) || cluster.peers.was_told(),
         }
     }
 
@@ -419,10 +421,10 @@
     /// others of it.
     pub(super) fn watches(&self, now: Mono, cluster: &Cluster) -> bool {
         let peers = cluster.peers.sights();
-        election::watches(now, &self.situation(now, false, cluster, &peers))
+        election::watches_store(now, &self.situation(now, false, cluster, &peers))
     }
 
-    fn claim(&mut self, now: Mono, cluster: &Cluster, stopping: bool) -> Option<Change> {
+    fn claim(&mut self, now: Mono, cluster: &Cluster, stopping: bool) -> Option<ConditionalWrite> {
         if self.claiming || now < self.claim_after || self.office.is_some() {
             return None;
         }
@@ -434,8 +436,8 @@
         let row = cluster.leader.as_ref();
         let term = row.map_or(0, |row| row.term).max(self.term) + 1;
         let store_ms = cluster.store_ms(now)?;
-        let wait_ms = self.cfg.rival_wait_ms() + CLOCK_MARGIN_MS;
-        let former = election::former_after(row, &peers, store_ms, wait_ms);
+        let wait_ms = self.cfg.predecessor_wait_ms() + CLOCK_MARGIN_MS;
+        let former = election::former_leaders_after(row, &peers, store_ms, wait_ms);
         let expected = row.map_or(Version(0), |row| row.version);
         let value = match own_rows::leader_value(&self.me, term, former) {
             Ok(value) => value,
@@ -450,8 +452,8 @@
             self.claimed = Some((expected, now));
         }
         self.claim_after = now.plus(CLAIM_PAUSE_MS);
-        Some(Change {
-            unless_changed: vec![(own_rows::LEADER_KEY.to_owned(), expected)],
+        Some(ConditionalWrite {
+            preconditions: vec![(own_rows::LEADER_KEY.to_owned(), expected)],
             put: vec![(own_rows::LEADER_KEY.to_owned(), value)],
         })
     }
@@ -468,8 +470,8 @@
     Ok(RowWrite {
         service,
         row,
-        change: Change {
-            unless_changed: vec![
+        change: ConditionalWrite {
+            preconditions: vec![
                 (own_rows::LEADER_KEY.to_owned(), office.version),
                 (key.clone(), expected),
             ],
--- a/crates/citronway/src/gateway/traffic/outcome.rs
+++ b/crates/citronway/src/gateway/traffic/outcome.rs
@@ -1,7 +1,9 @@
 //! How a request ended, and the answer that its caller gets.
 
 use bytes::Bytes;
-use citronway_core::gateway::admission::{DoubtReason, Refusal, RefusalReason, STOPPING_RETRY_MS};
+use citronway_core::gateway::admission::{
+    Refusal, RefusalReason, STOPPING_RETRY_MS, UnknownOutcomeReason,
+};
 use citronway_core::gateway::crashes::Fingerprint;
 use citronway_core::time::Mono;
 use citronway_platform::exchange;
@@ -14,7 +16,7 @@
 use super::state::State;
 use crate::clock;
 use crate::gateway::http_link::Answer;
-use crate::gateway::metrics::{Class, Ended};
+use crate::gateway::metrics::{Class, OutcomeKind};
 
 /// Time to come back where nothing better is known, in milliseconds.
 pub(super) const DEFAULT_RETRY_MS: u64 = 200;
@@ -29,7 +31,7 @@
     /// The same: its work is known to crash endpoints, and coming back does not help.
     Harmful(Fingerprint),
     /// It may have run; the reason for metrics, the cause for logs and the caller.
-    Unknown(DoubtReason, &'static str),
+    Unknown(UnknownOutcomeReason, &'static str),
     /// Its time ended; it may have run.
     TimedOut,
     /// It cannot be accepted as it is.
@@ -38,14 +40,14 @@
 
 impl Outcome {
     /// Label for metrics.
-    const fn ended(&self) -> Ended {
+    const fn ended(&self) -> OutcomeKind {
         match self {
-            Self::Answered(_) => Ended::Answered,
-            Self::NotRun(refusal) => Ended::NotRun(refusal.reason),
-            Self::Harmful(_) => Ended::NotRun(RefusalReason::CrashesEndpoints),
-            Self::Unknown(reason, _) => Ended::MayHaveRun(*reason),
-            Self::TimedOut => Ended::MayHaveRun(DoubtReason::Timeout),
-            Self::Rejected(..) => Ended::Rejected,
+            Self::Answered(_) => OutcomeKind::Answered,
+            Self::NotRun(refusal) => OutcomeKind::NotRun(refusal.reason),
+            Self::Harmful(_) => OutcomeKind::NotRun(RefusalReason::CrashesEndpoints),
+            Self::Unknown(reason, _) => OutcomeKind::MayHaveRun(*reason),
+            Self::TimedOut => OutcomeKind::MayHaveRun(UnknownOutcomeReason::Timeout),
+            Self::Rejected(..) => OutcomeKind::Rejected,
         }
     }
 }
@@ -74,7 +76,7 @@
     let (status, headers, body) = match outcome {
         Outcome::Answered(answer) => (
             answer.status,
-            exchange::returned(&answer.headers),
+            exchange::returned_headers(&answer.headers),
             answer.body,
         ),
         Outcome::NotRun(refusal) => {
@@ -83,12 +85,12 @@
                 id,
                 status,
                 Some(refusal.retry_after_ms),
-                refusal.reason.word(),
+                refusal.reason.as_str(),
             )
         }
         Outcome::Harmful(_) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            own_answer(id, status, None, RefusalReason::CrashesEndpoints.word())
+            own_answer(id, status, None, RefusalReason::CrashesEndpoints.as_str())
         }
         Outcome::Unknown(_, cause) => own_answer(id, StatusCode::BAD_GATEWAY, None, cause),
         Outcome::TimedOut => own_answer(id, StatusCode::GATEWAY_TIMEOUT, None, "timeout"),
@@ -114,7 +116,7 @@
     cause: &'static str,
 ) -> (StatusCode, http::HeaderMap, Bytes) {
     let mut headers = http::HeaderMap::new();
-    exchange::own_answer(&mut headers, id, retry_after_ms);
+    exchange::set_answer_headers(&mut headers, id, retry_after_ms);
     (status, headers, Bytes::from_static(cause.as_bytes()))
 }
 
@@ -133,23 +135,23 @@
 ) {
     let request = shown_id(id);
     let ms = clock::mono().since(arrived);
-    state.metrics.ended(class, outcome.ended(), ms);
+    state.metrics.record_outcome(class, outcome.ended(), ms);
     match outcome {
         Outcome::Answered(answer) => {
             let status = answer.status.as_u16();
             log::debug!(request, status, ms; "answered");
         }
         Outcome::NotRun(refusal) => {
-            let reason = refusal.reason.word();
+            let reason = refusal.reason.as_str();
             let retry_after_ms = refusal.retry_after_ms;
             log::info!(request, reason, retry_after_ms, ms; "refused, not run");
         }
         Outcome::Harmful(work) => {
-            let reason = RefusalReason::CrashesEndpoints.word();
+            let reason = RefusalReason::CrashesEndpoints.as_str();
             log::info!(request, reason, work:%, ms; "refused, not run");
         }
         Outcome::Unknown(reason, cause) => {
-            let reason = reason.word();
+            let reason = reason.as_str();
             log::info!(request, reason, cause, ms; "may have run");
         }
         Outcome::TimedOut => log::info!(request, ms; "timed out, may have run"),
--- a/crates/citronway/src/gateway/traffic/state/mod.rs
+++ b/crates/citronway/src/gateway/traffic/state/mod.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use citronway_core::gateway::admission::{Admission, Choice, Decision, Job, View};
-use citronway_core::gateway::budget::{SecondSends, SharedLimit};
+use citronway_core::gateway::budget::{RetryLimit, SharedRetryBudget};
 use citronway_core::gateway::crashes::{Fingerprint, Sign};
 use citronway_core::gateway::limit::EndpointLoad;
 use citronway_core::gateway::pace::{Answers, EndpointTag};
@@ -23,7 +23,7 @@
 use super::ended::Looks;
 use super::open_requests::OpenRequests;
 use super::pool::Pool;
-use super::seen::Seen;
+use super::seen::TrafficReport;
 use crate::clock;
 use crate::gateway::metrics::Metrics;
 use guards::Waiting;
@@ -50,10 +50,10 @@
     waiting: RefCell<IndexMap<u64, oneshot::Sender<Decision>>>,
     any_waits: Notify,
     tickets: Cell<u64>,
-    limit: SharedLimit,
+    limit: RetryLimit,
     /// How much more than its service states a cold endpoint may get, as a factor.
     cold_overage: f64,
-    second_sends: RefCell<IndexMap<ServiceName, SecondSends>>,
+    second_sends: RefCell<IndexMap<ServiceName, SharedRetryBudget>>,
     /// Mean time of work by route, in milliseconds.
     work: RefCell<IndexMap<String, Work>>,
     answers: RefCell<IndexMap<EndpointTag, Answers>>,
@@ -111,7 +111,7 @@
             waiting: RefCell::default(),
             any_waits: Notify::new(),
             tickets: Cell::new(0),
-            limit: cfg.second_sends,
+            limit: cfg.retries,
             cold_overage: cfg.cold_overage,
             second_sends: RefCell::default(),
             work: RefCell::default(),
@@ -187,20 +187,20 @@
     }
 
     pub(super) fn count_request(&self, now: Mono, service: &ServiceName) {
-        self.budget(service, |budget| budget.request(now));
+        self.budget(service, |budget| budget.record_request(now));
     }
 
     pub(super) fn take_second_send(&self, now: Mono, service: &ServiceName) -> bool {
         let instances = self.view.borrow().instances;
-        self.budget(service, |budget| budget.take(now, instances))
+        self.budget(service, |budget| budget.try_take(now, instances))
     }
 
-    fn budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut SecondSends) -> T) -> T {
+    fn budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut SharedRetryBudget) -> T) -> T {
         let mut all = self.second_sends.borrow_mut();
         let limit = self.limit;
         f(all
             .entry(service.clone())
-            .or_insert_with(|| SecondSends::new(limit)))
+            .or_insert_with(|| SharedRetryBudget::new(limit)))
     }
 
     /// Asks for a place; waits for it if need be.
@@ -210,7 +210,7 @@
         let decided = self
             .admission
             .borrow_mut()
-            .arrive(now, &self.view.borrow(), job);
+            .submit(now, &self.view.borrow(), job);
         if decided.is_some() {
             return decided;
         }
@@ -254,19 +254,19 @@
     pub(super) fn answered(&self, choice: &Choice, key: Option<u16>) {
         self.admission
             .borrow_mut()
-            .answered(clock::mono(), choice, key);
+            .record_answer(clock::mono(), choice, key);
     }
 
     /// Takes what an endpoint of a service without keys says of its load.
     pub(super) fn load_told(&self, job: &Job, load: Option<EndpointLoad>) {
         let mut admission = self.admission.borrow_mut();
-        admission.load_told(&self.view.borrow(), &job.service, load);
+        admission.record_load(&self.view.borrow(), &job.service, load);
     }
 
     /// Notes that an endpoint of a service without keys had no room.
     pub(super) fn turned_away(&self, job: &Job) {
         let mut admission = self.admission.borrow_mut();
-        admission.turned_away(clock::mono(), &self.view.borrow(), &job.service);
+        admission.record_rejection(clock::mono(), &self.view.borrow(), &job.service);
     }
 
     /// Whether an endpoint has said that it leaves, or is not listed.
@@ -278,7 +278,9 @@
 
     /// Notes that another process has the endpoint's address.
     pub(super) fn gone(&self, endpoint: &EndpointStart) {
-        self.admission.borrow_mut().gone(clock::mono(), endpoint);
+        self.admission
+            .borrow_mut()
+            .record_replaced(clock::mono(), endpoint);
     }
 
     /// Notes that the endpoint failed or refused a request.
@@ -290,13 +292,17 @@
     /// Notes that the endpoint took no connection or fell silent.
     pub(super) fn unreachable(&self, endpoint: &EndpointStart) {
         self.refused(endpoint);
-        self.admission.borrow_mut().failed(clock::mono(), endpoint);
+        self.admission
+            .borrow_mut()
+            .record_failure(clock::mono(), endpoint);
     }
 
     /// Notes that the endpoint reset a connection.
     pub(super) fn reset(&self, endpoint: &EndpointStart) {
         self.refused(endpoint);
-        self.admission.borrow_mut().reset(clock::mono(), endpoint);
+        self.admission
+            .borrow_mut()
+            .record_reset(clock::mono(), endpoint);
     }
 
     /// Requests a second that all instances together may send to an endpoint, where it is cold
@@ -318,26 +324,26 @@
     /// Notes that a cold endpoint is to get nothing for a while.
     pub(super) fn cold_busy(&self, endpoint: &EndpointStart, for_ms: u64) {
         let until = clock::mono().plus(for_ms);
-        self.admission.borrow_mut().cold_busy(endpoint, until);
+        self.admission.borrow_mut().hold_back_cold(endpoint, until);
     }
 
     /// Notes that the endpoint does not hold the key.
     pub(super) fn not_held(&self, job: &Job, fence: u64) {
         let mut admission = self.admission.borrow_mut();
-        admission.not_held(clock::mono(), &self.view.borrow(), job, fence);
+        admission.record_not_held(clock::mono(), &self.view.borrow(), job, fence);
     }
 
     pub(super) fn view_changed(&self) {
         let now = clock::mono();
         self.admission
             .borrow_mut()
-            .view_changed(now, &self.view.borrow());
+            .update_view(now, &self.view.borrow());
         self.pump();
     }
 
     /// Has requests that wait end by `end`, with the process.
     pub(super) fn end_by(&self, end: Mono) {
-        self.admission.borrow_mut().end_by(end);
+        self.admission.borrow_mut().limit_deadlines(end);
         self.pump();
     }
 
@@ -361,34 +367,36 @@
         let decided = self
             .admission
             .borrow_mut()
-            .pump(clock::mono(), &self.view.borrow());
+            .decide_waiting(clock::mono(), &self.view.borrow());
         for (ticket, decision) in decided {
             let Some(tx) = self.waiting.borrow_mut().swap_remove(&ticket) else {
                 continue;
             };
             if let Err(Decision::Send(choice)) = tx.send(decision) {
-                self.admission.borrow_mut().finished(&choice.endpoint);
+                self.admission
+                    .borrow_mut()
+                    .record_finished(&choice.endpoint);
             }
         }
     }
 
     /// Account of what was seen since the last one.
-    pub(super) fn account(&self) -> Seen {
+    pub(super) fn account(&self) -> TrafficReport {
         self.pool.borrow_mut().prune(clock::mono());
         let in_flight = self
             .admission
             .borrow()
-            .uses()
+            .usage()
             .map(|(_, count, _)| count)
             .sum();
-        self.metrics.load(self.waiting(), in_flight);
-        self.metrics.connections(self.open_connections());
+        self.metrics.set_load(self.waiting(), in_flight);
+        self.metrics.set_connections(self.open_connections());
         self.open.show_counts();
         let mut answers = std::mem::take(&mut *self.answers.borrow_mut());
         let mut endpoints: Vec<_> = self
             .admission
             .borrow()
-            .uses()
+            .usage()
             .map(|(tag, in_flight, waiting)| EndpointUse {
                 tag,
                 in_flight,
@@ -418,8 +426,8 @@
         let work_ms = work
             .into_iter()
             .map(|(service, (sum, count))| (service, sum / count));
-        Seen {
-            looked: report::Seen {
+        TrafficReport {
+            usage: report::Observations {
                 endpoints,
                 keys: samples.collect(),
             },
@@ -435,7 +443,7 @@
 
     /// Notes that an endpoint crashed while it had the work.
     pub(super) fn crashed(&self, work: Fingerprint, endpoint: &EndpointStart) {
-        self.metrics.crashed();
+        self.metrics.count_crash();
         let endpoint = EndpointTag::of(endpoint);
         self.signs.borrow_mut().push(Sign::Crash { work, endpoint });
         self.crash_seen.notify_one();
--- a/crates/citronway/src/gateway/traffic/suspicion.rs
+++ b/crates/citronway/src/gateway/traffic/suspicion.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use citronway_core::gateway::admission::{Choice, DoubtReason, Refusal, RefusalReason};
+use citronway_core::gateway::admission::{Choice, Refusal, RefusalReason, UnknownOutcomeReason};
 use citronway_core::gateway::crashes::{
-    Fingerprint, Known, TrialEnd, TrialGrant, Work, come_back_ms,
+    CrashSnapshot, Fingerprint, TrialEnd, TrialGrant, Work, copy_retry_after_ms,
 };
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::time::Mono;
@@ -63,10 +63,11 @@
         if known.refused.is_empty() {
             return None;
         }
-        self.fingerprint().filter(|work| known.refuses(now, *work))
+        self.fingerprint()
+            .filter(|work| known.is_refused(now, *work))
     }
 
-    fn known(&self) -> Arc<Known> {
+    fn known(&self) -> Arc<CrashSnapshot> {
         Arc::clone(&self.state.view.borrow().crashes)
     }
 
@@ -75,7 +76,7 @@
         if self.run_by.is_empty() {
             return Outcome::Harmful(work);
         }
-        Outcome::Unknown(DoubtReason::Crashed, "endpoints that run it crash")
+        Outcome::Unknown(UnknownOutcomeReason::Crashed, "endpoints that run it crash")
     }
 
     /// Tells a crash of the endpoint from a connection that was cut.
@@ -100,7 +101,7 @@
             let endpoint = EndpointTag::of(endpoint);
             trial.ended(TrialEnd::Crashed { endpoint });
         }
-        if self.known().suspects(work) {
+        if self.known().is_suspect(work) {
             Look::CrashedAgain
         } else {
             Look::Crashed
@@ -116,29 +117,29 @@
     pub(super) async fn take_trial(&mut self) -> Option<Refusal> {
         let work = self.suspect()?;
         let number = self.state.ticket();
-        let limit_ms = self.job.last_at.since(clock::mono());
+        let limit_ms = self.job.deadline.since(clock::mono());
         let state = Rc::clone(self.state);
         // Dropped without a grant, it gives back what a late one took.
         let trial = Trial {
             state,
             number,
             work,
-            end: TrialEnd::Open,
+            end: TrialEnd::Inconclusive,
         };
         let expected_ms = self.job.expected_ms();
         let grant = self.state.asks.trial(number, work, expected_ms, limit_ms);
         let grant = grant.await;
-        self.state.metrics.trial(&grant);
+        self.state.metrics.count_trial_request(&grant);
         let TrialGrant::Busy { for_ms } = grant else {
             self.trial = Some(trial);
             return None;
         };
         let request = shown_id(self.words.id.as_ref());
         log::info!(request, work:%, busy_ms = for_ms; "another copy of the work is being tried");
-        let left_ms = self.job.caller_until.since(clock::mono());
+        let left_ms = self.job.caller_deadline.since(clock::mono());
         Some(Refusal {
             reason: RefusalReason::UnderTrial,
-            retry_after_ms: come_back_ms(for_ms, left_ms, number),
+            retry_after_ms: copy_retry_after_ms(for_ms, left_ms, number),
         })
     }
 
@@ -149,7 +150,7 @@
             return None;
         }
         let work = self.fingerprint()?;
-        (self.has_crashed || known.suspects(work)).then_some(work)
+        (self.has_crashed || known.is_suspect(work)).then_some(work)
     }
 
     /// Clears work that was under suspicion: an endpoint ran it to its end.
@@ -162,7 +163,7 @@
             return;
         }
         let work = self.fingerprint();
-        if let Some(work) = work.filter(|work| known.suspects(*work)) {
+        if let Some(work) = work.filter(|work| known.is_suspect(*work)) {
             self.state.cleared(work);
         }
     }
