--- a/crates/citronway-core/benches/dispatch.rs
+++ b/crates/citronway-core/benches/dispatch.rs
@@ -6,7 +6,7 @@
 use citronway_core::config::Class;
 use citronway_core::dispatch::duplicates::Duplicates;
 use citronway_core::dispatch::fingerprint::Fingerprint;
-use citronway_core::dispatch::queue::{Queue, Waiting};
+use citronway_core::dispatch::queue::{Queue, QueuedRequest};
 use citronway_core::dispatch::service::ServiceTimes;
 use citronway_core::dispatch::{DispatchSettings, ShardRef};
 use citronway_core::hotkeys::HotKeys;
@@ -52,8 +52,8 @@
     }
 }
 
-fn waiting(n: u64) -> Waiting {
-    Waiting {
+fn waiting(n: u64) -> QueuedRequest {
+    QueuedRequest {
         origin: n,
         request: request(n),
         at: ShardRef {
@@ -93,7 +93,7 @@
             b.iter(|| {
                 n += 1;
                 queue.push(next.clone());
-                next = queue.pick(Mono(n), |_| true).expect("something waits");
+                next = queue.pop_fit(Mono(n), |_| true).expect("something waits");
             });
         });
     }
--- a/crates/citronway-core/src/dispatch/admission.rs
+++ b/crates/citronway-core/src/dispatch/admission.rs
@@ -3,7 +3,7 @@
 //! A request that cannot be finished by its deadline only takes a slot from one
 //! that can, so it is refused at once with the time after which there is room.
 
-use super::queue::Ahead;
+use super::queue::WorkAhead;
 use crate::outcome::{NotRun, NotRunReason};
 use crate::time::Wall;
 
@@ -16,7 +16,7 @@
     /// Deadline of the request.
     pub deadline: Wall,
     /// Work before it.
-    pub ahead: Ahead,
+    pub ahead: WorkAhead,
     /// Mean service time of its class, in milliseconds.
     pub service_ms: u64,
     /// Mean service time of the orders that hold a slot, in milliseconds.
--- a/crates/citronway-core/src/dispatch/answers.rs
+++ b/crates/citronway-core/src/dispatch/answers.rs
@@ -12,22 +12,22 @@
 
 /// Answers by id; the oldest go first when there is no room.
 #[derive(Debug)]
-pub struct Answers {
+pub struct AnswerCache {
     kept: IndexMap<RequestId, Answer>,
     order: VecDeque<RequestId>,
     bytes: usize,
-    most: usize,
+    max_bytes: usize,
 }
 
-impl Answers {
-    /// No answers; room for `most` bytes.
+impl AnswerCache {
+    /// No answers; room for `max_bytes` bytes.
     #[must_use]
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_bytes: usize) -> Self {
         Self {
             kept: IndexMap::new(),
             order: VecDeque::new(),
             bytes: 0,
-            most,
+            max_bytes,
         }
     }
 
@@ -40,14 +40,14 @@
     /// Keeps an answer, unless it alone is too large.
     pub fn keep(&mut self, id: RequestId, answer: Answer) {
         let size = size(&answer);
-        if size > self.most {
+        if size > self.max_bytes {
             return;
         }
         self.forget(id);
         self.bytes += size;
         self.kept.insert(id, answer);
         self.order.push_back(id);
-        while self.bytes > self.most {
+        while self.bytes > self.max_bytes {
             let Some(oldest) = self.order.pop_front() else {
                 break;
             };
--- a/crates/citronway-core/src/dispatch/arriving.rs
+++ b/crates/citronway-core/src/dispatch/arriving.rs
@@ -7,7 +7,7 @@
 use super::health::Reach;
 use super::machine::Dispatcher;
 use super::message::{DispatchAction, ShardRef, Turn};
-use super::queue::Waiting;
+use super::queue::QueuedRequest;
 use super::waiters::Waiter;
 use crate::ids::{RequestId, ShardId};
 use crate::node::events::Ticket;
@@ -45,7 +45,7 @@
                 return self.refuse(origin, NotRunReason::Overloaded, retry_ms);
             }
         };
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             origin,
             request,
             at,
@@ -69,7 +69,7 @@
             }
             return;
         }
-        let Some(ticket) = self.slots.of_origin(origin) else {
+        let Some(ticket) = self.slots.running_by_origin(origin) else {
             return;
         };
         let order = self.slots.get_mut(ticket);
@@ -109,16 +109,18 @@
             .check(request.id, fingerprint, floor, turn.now.wall)
     }
 
-    fn admit(&self, waiting: &Waiting, turn: Turn) -> Result<(), NotRun> {
-        if let Some(reason) = self.closed(&waiting.at, turn) {
+    fn admit(&self, waiting: &QueuedRequest, turn: Turn) -> Result<(), NotRun> {
+        if let Some(reason) = self.refusal_reason(&waiting.at, turn) {
             return Err(NotRun::new(reason, self.retry_after_ms(reason)));
         }
         let request = &waiting.request;
         let class = &request.class;
         let arrival = Arrival {
             deadline: request.deadline,
-            ahead: self.queue.ahead_of(class, request.deadline, &self.times),
-            service_ms: self.times.ms(class),
+            ahead: self
+                .queue
+                .ahead_of(class, request.deadline, &self.service_times),
+            service_ms: self.service_times.ms(class),
             running_ms: self.running_ms() / u64::from(self.slots.used().max(1)),
             running: self.slots.used(),
             slots: self.limit.slots(),
@@ -134,18 +136,18 @@
     /// Service time of the orders that hold a slot, in milliseconds.
     fn running_ms(&self) -> u64 {
         let classes = self.slots.classes();
-        classes.map(|class| self.times.ms(class)).sum()
+        classes.map(|class| self.service_times.ms(class)).sum()
     }
 
     /// Time until all that waits and runs is done, in milliseconds.
     fn drain_ms(&self) -> u64 {
-        let work_ms = self.queue.work_ms(&self.times) + self.running_ms();
+        let work_ms = self.queue.work_ms(&self.service_times) + self.running_ms();
         let ms = work_ms / u64::from(self.limit.slots());
         ms.max(LEAST_RETRY_MS)
     }
 
     /// Why no new work is taken for a shard at all.
-    fn closed(&self, at: &ShardRef, turn: Turn) -> Option<NotRunReason> {
+    fn refusal_reason(&self, at: &ShardRef, turn: Turn) -> Option<NotRunReason> {
         if self.retired.is_some() {
             return self.retired;
         }
@@ -170,7 +172,7 @@
         }
     }
 
-    fn enqueue(&mut self, waiting: Waiting, fingerprint: Fingerprint) {
+    fn enqueue(&mut self, waiting: QueuedRequest, fingerprint: Fingerprint) {
         if waiting.request.repeat == Repeat::NonIdempotent {
             self.duplicates.take(waiting.request.id, fingerprint);
         }
--- a/crates/citronway-core/src/dispatch/duplicates.rs
+++ b/crates/citronway-core/src/dispatch/duplicates.rs
@@ -11,7 +11,7 @@
 
 use std::collections::BTreeMap;
 
-use super::answers::Answers;
+use super::answers::AnswerCache;
 use super::fingerprint::Fingerprint;
 use super::message::RequestFault;
 use super::settings::DispatchSettings;
@@ -64,7 +64,7 @@
     /// By id, which for UUIDs of version 7 is by time of creation; an
     /// `IndexMap` does not keep that order.
     known: BTreeMap<RequestId, Known>,
-    answers: Answers,
+    answers: AnswerCache,
     floor: Wall,
     max_ids: usize,
     ahead_ms: u64,
@@ -78,7 +78,7 @@
     pub fn new(cfg: &DispatchSettings, floor: Wall) -> Self {
         Self {
             known: BTreeMap::new(),
-            answers: Answers::new(cfg.answer_bytes),
+            answers: AnswerCache::new(cfg.answer_bytes),
             floor,
             max_ids: cfg.max_ids.max(1),
             ahead_ms: cfg.id_ahead_ms,
--- a/crates/citronway-core/src/dispatch/granting.rs
+++ b/crates/citronway-core/src/dispatch/granting.rs
@@ -11,7 +11,8 @@
     pub(super) fn on_grant_done(&mut self, ticket: Ticket, report: &ProbeReport, turn: Turn) {
         let before = self.health.reach();
         let was_cold = self.health.cold();
-        self.health.probed(ticket, report, &self.cfg, turn.now.mono);
+        self.health
+            .on_probe_done(ticket, report, &self.cfg, turn.now.mono);
         match *report {
             ProbeReport::Failed => self.on_probe_failed(before, turn),
             ProbeReport::Answered { stale_epoch, .. } => {
@@ -19,7 +20,7 @@
                     self.next_renewal = turn.now.mono;
                 }
                 if self.health.cold() && !was_cold {
-                    self.limit.cold();
+                    self.limit.on_cold_start();
                 }
                 if before == Reach::Unreachable {
                     self.on_back();
@@ -27,19 +28,19 @@
                 self.on_grant_answered(ticket, stale_epoch, turn);
             }
         }
-        self.count_foreign();
+        self.update_predecessor_orders();
     }
 
     /// Moves shards on their way out, as far as silence allows.
     pub(super) fn release_shards(&mut self, turn: Turn) {
         let bounds = self.bounds();
         for part in self.grants.stop_moving(turn.now.wall, bounds) {
-            self.give_part_up(&part);
+            self.give_up_range(&part);
         }
         let slots = &self.slots;
         let released = self
             .grants
-            .pass_time(turn.now.wall, bounds, |part| slots.any_in(part));
+            .pass_time(turn.now.wall, bounds, |part| slots.has_order_in(part));
         if released {
             self.next_report = turn.now.mono;
         }
@@ -64,7 +65,7 @@
     /// further grant would put off the moment from which it certainly holds
     /// nothing, and with it the recovery of its keys.
     const fn may_grant(&self) -> bool {
-        !self.quiet && !self.health.stale() && !self.health.is_silent()
+        !self.quiet && !self.health.stale() && !self.health.has_failed_probe()
     }
 
     fn send_grant(&mut self, may_grant: bool, turn: Turn) {
@@ -75,7 +76,7 @@
         };
         let end = turn.now.wall.plus(self.cfg.bounded_grant_ms());
         let ticket = self.ticket();
-        self.grants.granting(ticket, end, &shards);
+        self.grants.on_grant_sent(ticket, end, &shards);
         let grant = self.grant(end, shards);
         self.out.push(DispatchAction::Grant { ticket, grant });
     }
@@ -86,7 +87,7 @@
             return;
         }
         let ticket = self.ticket();
-        self.grants.revoking(ticket, &shards);
+        self.grants.on_revocation_sent(ticket, &shards);
         let grant = self.grant(Wall(0), shards);
         self.out.push(DispatchAction::Revoke { ticket, grant });
     }
@@ -107,7 +108,10 @@
             self.give_up_all(NotRunReason::NotDispatcher);
             return;
         }
-        if self.grants.confirmed(ticket, self.bounds(), turn.now.wall) {
+        if self
+            .grants
+            .on_confirmed(ticket, self.bounds(), turn.now.wall)
+        {
             self.next_report = turn.now.mono;
         }
         if self.is_draining() {
@@ -125,18 +129,18 @@
 
     fn on_back(&mut self) {
         self.quiet = false;
-        self.limit.cold();
+        self.limit.on_cold_start();
         self.out.push(DispatchAction::EndpointBack);
     }
 
     /// Orders that run at the endpoint beside those sent from here. It is
     /// counted down only, so that a count that lags does not take slots away
     /// again for orders of this dispatcher.
-    fn count_foreign(&mut self) {
+    fn update_predecessor_orders(&mut self) {
         let Some(running) = self.health.reported_running() else {
             return;
         };
         let others = running.saturating_sub(self.slots.used());
-        self.foreign = self.foreign.min(others);
+        self.predecessor_orders = self.predecessor_orders.min(others);
     }
 }
--- a/crates/citronway-core/src/dispatch/grants.rs
+++ b/crates/citronway-core/src/dispatch/grants.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-use super::message::{KeyPart, OwnedShard, ShardEpoch, ShardRef};
+use super::message::{KeyRange, OwnedShard, ShardEpoch, ShardRef};
 use super::sent_grants::{SentGrants, SentKind, shard_epoch};
 use crate::ids::Epoch;
 use crate::node::events::{GrantedShard, Ticket};
@@ -24,7 +24,7 @@
 
 /// A shard at the endpoint.
 #[derive(Debug, Clone)]
-pub struct Held {
+pub struct HeldShard {
     /// The shard as assigned.
     pub owned: OwnedShard,
     /// How far it has come.
@@ -34,7 +34,7 @@
     /// Latest end that was ever sent, confirmed or not.
     latest_end: Wall,
     /// A grant, or a revocation in that phase, has been sent.
-    asked: bool,
+    sent_in_phase: bool,
     /// When the last order for one of its keys was sent.
     last_sent: Wall,
 }
@@ -65,7 +65,7 @@
 /// Grants of one endpoint.
 #[derive(Debug, Default)]
 pub struct Grants {
-    shards: IndexMap<ShardRef, Held>,
+    shards: IndexMap<ShardRef, HeldShard>,
     sent: SentGrants,
     /// Latest end that was ever sent for any shard.
     latest_end: Wall,
@@ -74,13 +74,13 @@
 impl Grants {
     /// A shard at the endpoint.
     #[must_use]
-    pub fn get(&self, at: &ShardRef) -> Option<&Held> {
+    pub fn get(&self, at: &ShardRef) -> Option<&HeldShard> {
         self.shards.get(at)
     }
 
     /// Takes in the assigned shards, all of them. Returns those that get no
     /// new work from now on.
-    pub fn set_shards(&mut self, shards: &[OwnedShard]) -> Vec<KeyPart> {
+    pub fn set_owned_shards(&mut self, shards: &[OwnedShard]) -> Vec<KeyRange> {
         let mut stopped = Vec::new();
         for owned in shards {
             self.set_shard(owned);
@@ -92,7 +92,7 @@
             held.owned.moving = true;
             if held.phase == Phase::Serving {
                 held.phase = Phase::Stopping;
-                stopped.push(held.owned.part());
+                stopped.push(held.owned.key_range());
             }
         }
         self.shards.retain(|at, held| {
@@ -107,7 +107,7 @@
     /// Failure guarded against: after a takeover an endpoint that does not check
     /// may run orders of the predecessor for long. Were its moving shards stopped
     /// at once, nobody would serve their keys all that time.
-    pub fn stop_moving(&mut self, now: Wall, bounds: Bounds) -> Vec<KeyPart> {
+    pub fn stop_moving(&mut self, now: Wall, bounds: Bounds) -> Vec<KeyRange> {
         let mut stopped = Vec::new();
         if !bounds.checks_orders && now < bounds.inherited_until {
             return stopped;
@@ -115,7 +115,7 @@
         for held in self.shards.values_mut() {
             if held.phase == Phase::Serving && held.owned.moving {
                 held.phase = Phase::Stopping;
-                stopped.push(held.owned.part());
+                stopped.push(held.owned.key_range());
             }
         }
         stopped
@@ -125,7 +125,7 @@
     ///
     /// One for a hot key counts for the shard around it as well, which gets the
     /// key back when it has cooled.
-    pub fn note_sent(&mut self, at: &ShardRef, now: Wall) {
+    pub fn record_order_sent(&mut self, at: &ShardRef, now: Wall) {
         let Some(held) = self.shards.get_mut(at) else {
             return;
         };
@@ -142,7 +142,7 @@
     }
 
     /// Latest order under any shard that has keys in common with this one.
-    fn last_sent_near(&self, owned: &OwnedShard) -> Wall {
+    fn last_sent_overlapping(&self, owned: &OwnedShard) -> Wall {
         let near = self
             .shards
             .values()
@@ -177,14 +177,14 @@
     #[must_use]
     pub fn has_ungranted(&self) -> bool {
         let mut shards = self.shards.values();
-        shards.any(|held| held.phase == Phase::Serving && !held.asked)
+        shards.any(|held| held.phase == Phase::Serving && !held.sent_in_phase)
     }
 
     /// Whether a shard waits for its first revocation.
     #[must_use]
     pub fn has_unrevoked(&self) -> bool {
         let mut shards = self.shards.values();
-        shards.any(|held| held.phase == Phase::Revoking && !held.asked)
+        shards.any(|held| held.phase == Phase::Revoking && !held.sent_in_phase)
     }
 
     /// Notes a grant that is being sent.
@@ -192,12 +192,12 @@
     /// A grant whose answer is missing may wait in the socket buffer of a
     /// frozen endpoint and be taken in later, so from now on the shards count
     /// as granted until `end`, whatever becomes of the message.
-    pub fn granting(&mut self, ticket: Ticket, end: Wall, shards: &[GrantedShard]) {
+    pub fn on_grant_sent(&mut self, ticket: Ticket, end: Wall, shards: &[GrantedShard]) {
         for shard in shards {
             let Some(held) = self.shards.get_mut(&shard_epoch(shard).at) else {
                 continue;
             };
-            held.asked = true;
+            held.sent_in_phase = true;
             held.latest_end = held.latest_end.max(end);
             self.latest_end = self.latest_end.max(end);
         }
@@ -205,10 +205,10 @@
     }
 
     /// Notes a revocation that is being sent.
-    pub fn revoking(&mut self, ticket: Ticket, shards: &[GrantedShard]) {
+    pub fn on_revocation_sent(&mut self, ticket: Ticket, shards: &[GrantedShard]) {
         for shard in shards {
             if let Some(held) = self.shards.get_mut(&shard_epoch(shard).at) {
-                held.asked = true;
+                held.sent_in_phase = true;
             }
         }
         self.sent.add(ticket, SentKind::Revoke, shards);
@@ -216,7 +216,7 @@
 
     /// The endpoint has taken in a grant or revocation. Returns whether a
     /// shard is released by that.
-    pub fn confirmed(&mut self, ticket: Ticket, bounds: Bounds, now: Wall) -> bool {
+    pub fn on_confirmed(&mut self, ticket: Ticket, bounds: Bounds, now: Wall) -> bool {
         let Some(sent) = self.sent.take(ticket) else {
             return false;
         };
@@ -258,14 +258,14 @@
         &mut self,
         now: Wall,
         bounds: Bounds,
-        busy: impl Fn(&KeyPart) -> bool,
+        busy: impl Fn(&KeyRange) -> bool,
     ) -> bool {
         let mut released = false;
         self.sent.pass_time(now, bounds.skew_ms);
         for held in self.shards.values_mut() {
-            if held.phase == Phase::Stopping && !busy(&held.owned.part()) {
+            if held.phase == Phase::Stopping && !busy(&held.owned.key_range()) {
                 held.phase = Phase::Revoking;
-                held.asked = false;
+                held.sent_in_phase = false;
             }
             if held.phase == Phase::Revoking && held.quiet_at(bounds) <= now {
                 held.phase = Phase::Released;
@@ -288,10 +288,12 @@
 
     /// Bars every shard under its present epoch. One with orders that may still
     /// act is only stopped; it is released when they are over.
-    pub fn release_idle(&mut self, busy: impl Fn(&KeyPart) -> bool) {
+    pub fn release_idle(&mut self, busy: impl Fn(&KeyRange) -> bool) {
         for held in self.shards.values_mut() {
             held.phase = match held.phase {
-                Phase::Serving | Phase::Stopping if busy(&held.owned.part()) => Phase::Stopping,
+                Phase::Serving | Phase::Stopping if busy(&held.owned.key_range()) => {
+                    Phase::Stopping
+                }
                 _ => Phase::Released,
             };
         }
@@ -321,8 +323,8 @@
 
     fn set_shard(&mut self, owned: &OwnedShard) {
         let Some(held) = self.shards.get_mut(&owned.at) else {
-            let mut held = Held::new(owned.clone(), Wall(0));
-            held.last_sent = self.last_sent_near(owned);
+            let mut held = HeldShard::new(owned.clone(), Wall(0));
+            held.last_sent = self.last_sent_overlapping(owned);
             self.shards.insert(owned.at.clone(), held);
             return;
         };
@@ -331,7 +333,7 @@
         }
         if owned.epoch > held.owned.epoch {
             let last_sent = held.last_sent;
-            *held = Held::new(owned.clone(), held.latest_end);
+            *held = HeldShard::new(owned.clone(), held.latest_end);
             held.last_sent = last_sent;
             return;
         }
@@ -358,7 +360,7 @@
     }
 }
 
-impl Held {
+impl HeldShard {
     /// Ids created before this may have run here; `floor` is the dispatcher's own.
     ///
     /// No id is sent before its own time of creation, so all that was sent lies
@@ -388,7 +390,7 @@
             phase,
             acked_end: Wall(0),
             latest_end,
-            asked: false,
+            sent_in_phase: false,
             last_sent: Wall(0),
         }
     }
--- a/crates/citronway-core/src/dispatch/health.rs
+++ b/crates/citronway-core/src/dispatch/health.rs
@@ -70,7 +70,7 @@
 
     /// Whether its last probe failed.
     #[must_use]
-    pub const fn is_silent(&self) -> bool {
+    pub const fn has_failed_probe(&self) -> bool {
         self.fails > 0
     }
 
@@ -81,12 +81,12 @@
     }
 
     /// An order was refused because the endpoint is leaving.
-    pub const fn refused_as_draining(&mut self) {
+    pub const fn on_draining_refusal(&mut self) {
         self.draining = true;
     }
 
     /// Takes in the outcome of a probe.
-    pub const fn probed(
+    pub const fn on_probe_done(
         &mut self,
         ticket: Ticket,
         report: &ProbeReport,
--- a/crates/citronway-core/src/dispatch/limit.rs
+++ b/crates/citronway-core/src/dispatch/limit.rs
@@ -27,7 +27,7 @@
 
 /// Limit on the slots in use.
 #[derive(Debug)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     slots: u32,
     /// In parts of a slot; from one slot to all.
     current: u64,
@@ -35,7 +35,7 @@
     lowered: Option<Mono>,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// All slots.
     #[must_use]
     pub fn new(slots: u32) -> Self {
@@ -55,7 +55,7 @@
 
     /// All slots of the endpoint, at least one.
     #[must_use]
-    pub const fn most(&self) -> u32 {
+    pub const fn max_slots(&self) -> u32 {
         self.slots
     }
 
@@ -69,13 +69,13 @@
     }
 
     /// The endpoint has just started, or has come back: begin with one slot.
-    pub fn cold(&mut self) {
+    pub fn on_cold_start(&mut self) {
         self.current = SLOT;
         self.growth = Growth::SlowStart;
     }
 
     /// An order was answered in about the usual time.
-    pub fn answered(&mut self) {
+    pub fn on_answered(&mut self) {
         let step = match self.growth {
             Growth::SlowStart => SLOT,
             Growth::Additive => SLOT * SLOT / self.current,
@@ -88,17 +88,17 @@
     }
 
     /// An order was shed. `round_ms` is the mean service time, in milliseconds.
-    pub fn shed(&mut self, round_ms: u64, now: Mono) {
+    pub fn on_shed(&mut self, round_ms: u64, now: Mono) {
         self.lower(self.current / 2, round_ms, now);
     }
 
     /// An order timed out or was lost.
-    pub fn unanswered(&mut self, round_ms: u64, now: Mono) {
+    pub fn on_unanswered(&mut self, round_ms: u64, now: Mono) {
         self.lower(self.current - self.current / GENTLE, round_ms, now);
     }
 
     /// An order was answered, but orders take much longer than usual.
-    pub fn slowed(&mut self, round_ms: u64, now: Mono) {
+    pub fn on_slow_answer(&mut self, round_ms: u64, now: Mono) {
         let half = (u64::from(self.slots) * SLOT / 2).max(SLOT);
         if self.current <= half {
             return;
--- a/crates/citronway-core/src/dispatch/machine.rs
+++ b/crates/citronway-core/src/dispatch/machine.rs
@@ -5,8 +5,8 @@
 use super::duplicates::Duplicates;
 use super::grants::{Bounds, Grants};
 use super::health::Health;
-use super::limit::Limit;
-use super::message::{DispatchAction, DispatchEvent, KeyPart, KeyRef, OwnedShard, ShardRef, Turn};
+use super::limit::ConcurrencyLimit;
+use super::message::{DispatchAction, DispatchEvent, KeyRange, KeyRef, OwnedShard, ShardRef, Turn};
 use super::queue::Queue;
 use super::service::ServiceTimes;
 use super::settings::DispatchSettings;
@@ -36,21 +36,21 @@
     pub(super) inherited: bool,
     pub(super) queue: Queue,
     pub(super) slots: Slots,
-    pub(super) limit: Limit,
-    pub(super) times: ServiceTimes,
+    pub(super) limit: ConcurrencyLimit,
+    pub(super) service_times: ServiceTimes,
     pub(super) duplicates: Duplicates,
     pub(super) waiters: Waiters,
     pub(super) grants: Grants,
     pub(super) health: Health,
-    pub(super) hot: HotKeys<KeyRef>,
-    pub(super) begun: IndexMap<ShardRef, u64>,
+    pub(super) hot_keys: HotKeys<KeyRef>,
+    pub(super) sent_by_shard: IndexMap<ShardRef, u64>,
     /// Orders of a predecessor that run at the endpoint, at most.
-    pub(super) foreign: u32,
+    pub(super) predecessor_orders: u32,
     pub(super) next_ticket: Ticket,
     pub(super) next_renewal: Mono,
     pub(super) next_report: Mono,
     /// When the role was last held.
-    pub(super) held: Mono,
+    pub(super) role_last_held: Mono,
     /// The role was given up, for this reason.
     pub(super) retired: Option<NotRunReason>,
     /// The endpoint is lost and nothing can act there any more.
@@ -76,19 +76,19 @@
         Self {
             queue: Queue::new(&spec.classes),
             slots: Slots::default(),
-            limit: Limit::new(usable_slots(&spec.endpoint)),
-            times: ServiceTimes::new(spec.settings.first_service_ms),
+            limit: ConcurrencyLimit::new(usable_slots(&spec.endpoint)),
+            service_times: ServiceTimes::new(spec.settings.first_service_ms),
             duplicates,
             waiters: Waiters::default(),
             grants: Grants::default(),
             health: Health::new(now.mono),
-            hot: HotKeys::new(HOT_KEYS),
-            begun: IndexMap::new(),
-            foreign: if spec.inherited { u32::MAX } else { 0 },
+            hot_keys: HotKeys::new(HOT_KEYS),
+            sent_by_shard: IndexMap::new(),
+            predecessor_orders: if spec.inherited { u32::MAX } else { 0 },
             next_ticket: spec.first_ticket,
             next_renewal: now.mono,
             next_report: now.mono,
-            held: now.mono,
+            role_last_held: now.mono,
             retired: None,
             quiet: false,
             cancels: Vec::new(),
@@ -138,29 +138,29 @@
     }
 
     fn on_shards(&mut self, shards: &[OwnedShard]) {
-        for part in self.grants.set_shards(shards) {
-            self.give_part_up(&part);
+        for part in self.grants.set_owned_shards(shards) {
+            self.give_up_range(&part);
         }
         for owned in shards {
             if owned.is_hot() {
-                self.give_old_shard_up(owned);
+                self.give_up_under_old_shard(owned);
             }
         }
     }
 
     /// Sends the waiting requests for these keys back: their entries look again
     /// where the keys are now.
-    pub(super) fn give_part_up(&mut self, part: &KeyPart) {
-        for waiting in self.queue.drain_part(part) {
+    pub(super) fn give_up_range(&mut self, part: &KeyRange) {
+        for waiting in self.queue.drain_range(part) {
             self.give_up(&waiting, NotRunReason::Moving);
         }
     }
 
     /// Requests for a hot key that came before it had its own shard would be
     /// sent under the shard around it, whatever becomes of its own.
-    fn give_old_shard_up(&mut self, hot: &OwnedShard) {
-        if self.queue.any_outside(&hot.part(), &hot.at) {
-            self.give_part_up(&hot.part());
+    fn give_up_under_old_shard(&mut self, hot: &OwnedShard) {
+        if self.queue.has_under_other_shard(&hot.key_range(), &hot.at) {
+            self.give_up_range(&hot.key_range());
         }
     }
 
@@ -181,11 +181,11 @@
     /// answer never waits for the hold.
     fn pass_time(&mut self, turn: Turn) {
         if turn.may_act {
-            self.held = self.held.max(turn.now.mono);
+            self.role_last_held = self.role_last_held.max(turn.now.mono);
         }
         self.expire(turn);
         self.duplicates.pass_time(turn.now.wall);
-        let lapsed = turn.now.mono.since(self.held) >= self.cfg.hold_grace_ms;
+        let lapsed = turn.now.mono.since(self.role_last_held) >= self.cfg.hold_grace_ms;
         if !turn.may_act && lapsed {
             self.give_up_all(NotRunReason::NoHold);
         }
--- a/crates/citronway-core/src/dispatch/message.rs
+++ b/crates/citronway-core/src/dispatch/message.rs
@@ -49,14 +49,14 @@
 
 /// Keys of a service that hash into a range.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeyPart {
+pub struct KeyRange {
     /// The service.
     pub service: ServiceName,
     /// The range.
     pub range: HashRange,
 }
 
-impl KeyPart {
+impl KeyRange {
     /// Whether the key is one of them.
     #[must_use]
     pub fn has(&self, key: &KeyRef) -> bool {
@@ -73,8 +73,8 @@
     /// shard numbers, the hot shard would look idle, move, and the key would be
     /// worked on by two endpoints. So work is told by the place of its key.
     #[must_use]
-    pub fn part(&self) -> KeyPart {
-        KeyPart {
+    pub fn key_range(&self) -> KeyRange {
+        KeyRange {
             service: self.at.service.clone(),
             range: self.range,
         }
--- a/crates/citronway-core/src/dispatch/mod.rs
+++ b/crates/citronway-core/src/dispatch/mod.rs
@@ -42,8 +42,8 @@
 
 pub use machine::Dispatcher;
 pub use message::{
-    DispatchAction, DispatchEvent, KeyPart, KeyRef, OwnedShard, RequestFault, ShardEpoch, ShardRef,
-    Turn,
+    DispatchAction, DispatchEvent, KeyRange, KeyRef, OwnedShard, RequestFault, ShardEpoch,
+    ShardRef, Turn,
 };
 pub use replay::replay;
 pub use settings::DispatchSettings;
--- a/crates/citronway-core/src/dispatch/pace.rs
+++ b/crates/citronway-core/src/dispatch/pace.rs
@@ -14,13 +14,13 @@
 
 /// Pace of one class.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct ServiceInterval {
     /// When the class was last served, if it has had work waiting since.
     last: Option<Mono>,
     mean_us: Option<u64>,
 }
 
-impl Pace {
+impl ServiceInterval {
     /// A request was taken out of the queue; `waiting` tells whether more wait.
     pub fn served(&mut self, now: Mono, waiting: bool) {
         if let Some(last) = self.last {
--- a/crates/citronway-core/src/dispatch/queue.rs
+++ b/crates/citronway-core/src/dispatch/queue.rs
@@ -8,10 +8,10 @@
 
 use indexmap::IndexMap;
 
-use super::message::{KeyPart, KeyRef, ShardRef};
-use super::pace::Pace;
+use super::message::{KeyRange, KeyRef, ShardRef};
+use super::pace::ServiceInterval;
 use super::service::ServiceTimes;
-use super::share::Share;
+use super::share::KeptShare;
 use crate::config::Class;
 use crate::ids::{ClassName, RequestId};
 use crate::node::events::Ticket;
@@ -20,7 +20,7 @@
 
 /// A request that waits.
 #[derive(Debug, Clone)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// Whom to reply to.
     pub origin: Ticket,
     /// The request.
@@ -31,7 +31,7 @@
     pub not_before: Wall,
 }
 
-impl Waiting {
+impl QueuedRequest {
     /// Its key.
     #[must_use]
     pub fn key(&self) -> KeyRef {
@@ -57,19 +57,19 @@
 
 /// Requests of one class. Lookups go by rank, which an `IndexMap` does not keep.
 #[derive(Debug)]
-struct Lane {
+struct ClassQueue {
     class: ClassName,
     priority: u8,
-    share: Share,
-    pace: Pace,
-    waiting: BTreeMap<Rank, Waiting>,
+    share: KeptShare,
+    pace: ServiceInterval,
+    waiting: BTreeMap<Rank, QueuedRequest>,
 }
 
 /// The bounded queue of one endpoint.
 #[derive(Debug)]
 pub struct Queue {
     /// By priority, best first.
-    lanes: Vec<Lane>,
+    class_queues: Vec<ClassQueue>,
     places: IndexMap<Ticket, Place>,
     by_key: IndexMap<KeyRef, usize>,
     arrivals: u64,
@@ -77,7 +77,7 @@
 
 /// Work that goes before a request that is about to join.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Ahead {
+pub struct WorkAhead {
     /// Requests of better classes, and earlier ones of its own.
     pub requests: u64,
     /// Service time of all these, in milliseconds.
@@ -97,11 +97,11 @@
     pub fn new(classes: &IndexMap<ClassName, Class>) -> Self {
         let mut lanes: Vec<_> = classes
             .iter()
-            .map(|(name, class)| Lane::new(name, class))
+            .map(|(name, class)| ClassQueue::new(name, class))
             .collect();
         lanes.sort_by(|a, b| (a.priority, &a.class).cmp(&(b.priority, &b.class)));
         Self {
-            lanes,
+            class_queues: lanes,
             places: IndexMap::new(),
             by_key: IndexMap::new(),
             arrivals: 0,
@@ -128,9 +128,9 @@
 
     /// What goes before a request of this class and deadline.
     #[must_use]
-    pub fn ahead_of(&self, class: &ClassName, deadline: Wall, times: &ServiceTimes) -> Ahead {
-        let mut ahead = Ahead::default();
-        for (index, lane) in self.lanes.iter().enumerate() {
+    pub fn ahead_of(&self, class: &ClassName, deadline: Wall, times: &ServiceTimes) -> WorkAhead {
+        let mut ahead = WorkAhead::default();
+        for (index, lane) in self.class_queues.iter().enumerate() {
             if lane.class == *class {
                 let rank = Rank {
                     deadline,
@@ -158,18 +158,18 @@
     #[must_use]
     pub fn work_ms(&self, times: &ServiceTimes) -> u64 {
         let mut work_ms = 0;
-        for lane in &self.lanes {
+        for lane in &self.class_queues {
             work_ms += lane.waiting.len() as u64 * times.ms(&lane.class);
         }
         work_ms
     }
 
     /// Adds a request. The bounds have been checked before.
-    pub fn push(&mut self, waiting: Waiting) {
+    pub fn push(&mut self, waiting: QueuedRequest) {
         let index = self.lane_of(&waiting.request.class);
-        if index == self.lanes.len() {
-            self.lanes
-                .push(Lane::unknown(waiting.request.class.clone()));
+        if index == self.class_queues.len() {
+            self.class_queues
+                .push(ClassQueue::unknown(waiting.request.class.clone()));
         }
         let rank = Rank {
             deadline: waiting.request.deadline,
@@ -179,21 +179,21 @@
         *self.by_key.entry(waiting.key()).or_insert(0) += 1;
         self.places
             .insert(waiting.origin, Place { lane: index, rank });
-        self.lanes[index].waiting.insert(rank, waiting);
+        self.class_queues[index].waiting.insert(rank, waiting);
     }
 
     /// Id of the request of an origin.
     #[must_use]
     pub fn id_of(&self, origin: Ticket) -> Option<RequestId> {
         let place = self.places.get(&origin)?;
-        let waiting = self.lanes[place.lane].waiting.get(&place.rank)?;
+        let waiting = self.class_queues[place.lane].waiting.get(&place.rank)?;
         Some(waiting.request.id)
     }
 
     /// Whether a request waits under this id.
     #[must_use]
     pub fn contains(&self, id: RequestId) -> bool {
-        let mut lanes = self.lanes.iter();
+        let mut lanes = self.class_queues.iter();
         lanes.any(|lane| {
             lane.waiting
                 .values()
@@ -202,16 +202,16 @@
     }
 
     /// Takes out the request of an origin.
-    pub fn remove(&mut self, origin: Ticket) -> Option<Waiting> {
+    pub fn remove(&mut self, origin: Ticket) -> Option<QueuedRequest> {
         let place = self.places.get(&origin).copied()?;
         self.take(place)
     }
 
     /// Takes out every request whose deadline has come.
-    pub fn expire(&mut self, now: Wall) -> Vec<Waiting> {
+    pub fn expire(&mut self, now: Wall) -> Vec<QueuedRequest> {
         let mut expired = Vec::new();
-        for index in 0..self.lanes.len() {
-            while let Some((&rank, _)) = self.lanes[index].waiting.first_key_value() {
+        for index in 0..self.class_queues.len() {
+            while let Some((&rank, _)) = self.class_queues[index].waiting.first_key_value() {
                 if rank.deadline > now {
                     break;
                 }
@@ -222,9 +222,9 @@
     }
 
     /// Takes out everything.
-    pub fn drain(&mut self) -> Vec<Waiting> {
+    pub fn drain(&mut self) -> Vec<QueuedRequest> {
         let mut all = Vec::with_capacity(self.places.len());
-        for lane in &mut self.lanes {
+        for lane in &mut self.class_queues {
             all.extend(std::mem::take(&mut lane.waiting).into_values());
         }
         self.places.clear();
@@ -233,9 +233,9 @@
     }
 
     /// Takes out the requests of one shard.
-    pub fn drain_part(&mut self, part: &KeyPart) -> Vec<Waiting> {
+    pub fn drain_range(&mut self, part: &KeyRange) -> Vec<QueuedRequest> {
         let mut places = Vec::new();
-        for (index, lane) in self.lanes.iter().enumerate() {
+        for (index, lane) in self.class_queues.iter().enumerate() {
             for (&rank, waiting) in &lane.waiting {
                 if part.has(&waiting.key()) {
                     places.push(Place { lane: index, rank });
@@ -247,8 +247,8 @@
 
     /// Whether a request for one of the keys waits under another shard.
     #[must_use]
-    pub fn any_outside(&self, part: &KeyPart, at: &ShardRef) -> bool {
-        let mut lanes = self.lanes.iter();
+    pub fn has_under_other_shard(&self, part: &KeyRange, at: &ShardRef) -> bool {
+        let mut lanes = self.class_queues.iter();
         lanes.any(|lane| {
             let mut waiting = lane.waiting.values();
             waiting.any(|waiting| waiting.at != *at && part.has(&waiting.key()))
@@ -258,7 +258,7 @@
     /// Lets time pass for the kept shares. `running` tells the orders of a
     /// class that hold a slot, `limit` the slots in use at most.
     pub fn pass_time(&mut self, now: Mono, limit: u32, running: impl Fn(&ClassName) -> u32) {
-        for lane in &mut self.lanes {
+        for lane in &mut self.class_queues {
             let held = running(&lane.class);
             lane.share
                 .pass_time(now, limit, held, !lane.waiting.is_empty());
@@ -266,20 +266,24 @@
     }
 
     /// Takes out the next request that is fit to be sent.
-    pub fn pick(&mut self, now: Mono, fit: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
+    pub fn pop_fit(
+        &mut self,
+        now: Mono,
+        fit: impl Fn(&QueuedRequest) -> bool,
+    ) -> Option<QueuedRequest> {
         let place = self.next_place(&fit)?;
         let waiting = self.take(place)?;
-        let lane = &mut self.lanes[place.lane];
+        let lane = &mut self.class_queues[place.lane];
         lane.pace.served(now, !lane.waiting.is_empty());
         Some(waiting)
     }
 
     /// The neediest class below its share, else the best class.
-    fn next_place(&self, fit: &impl Fn(&Waiting) -> bool) -> Option<Place> {
+    fn next_place(&self, fit: &impl Fn(&QueuedRequest) -> bool) -> Option<Place> {
         let mut best: Option<Place> = None;
         let mut neediest = 0;
-        for (index, lane) in self.lanes.iter().enumerate() {
-            let owed = lane.share.owed();
+        for (index, lane) in self.class_queues.iter().enumerate() {
+            let owed = lane.share.deficit();
             if best.is_some() && owed <= neediest {
                 continue;
             }
@@ -293,14 +297,14 @@
     }
 
     fn lane_of(&self, class: &ClassName) -> usize {
-        self.lanes
+        self.class_queues
             .iter()
             .position(|lane| lane.class == *class)
-            .unwrap_or(self.lanes.len())
+            .unwrap_or(self.class_queues.len())
     }
 
-    fn take(&mut self, place: Place) -> Option<Waiting> {
-        let waiting = self.lanes[place.lane].waiting.remove(&place.rank)?;
+    fn take(&mut self, place: Place) -> Option<QueuedRequest> {
+        let waiting = self.class_queues[place.lane].waiting.remove(&place.rank)?;
         self.places.swap_remove(&waiting.origin);
         let key = waiting.key();
         if let Some(count) = self.by_key.get_mut(&key) {
@@ -313,13 +317,13 @@
     }
 }
 
-impl Lane {
+impl ClassQueue {
     fn new(name: &ClassName, class: &Class) -> Self {
         Self {
             class: name.clone(),
             priority: class.priority,
-            share: Share::new(class.kept_share),
-            pace: Pace::default(),
+            share: KeptShare::new(class.kept_share),
+            pace: ServiceInterval::default(),
             waiting: BTreeMap::new(),
         }
     }
@@ -329,13 +333,13 @@
         Self {
             class,
             priority: u8::MAX,
-            share: Share::new(0),
-            pace: Pace::default(),
+            share: KeptShare::new(0),
+            pace: ServiceInterval::default(),
             waiting: BTreeMap::new(),
         }
     }
 
-    fn first_fit(&self, fit: &impl Fn(&Waiting) -> bool) -> Option<Rank> {
+    fn first_fit(&self, fit: &impl Fn(&QueuedRequest) -> bool) -> Option<Rank> {
         for (&rank, waiting) in &self.waiting {
             if fit(waiting) {
                 return Some(rank);
--- a/crates/citronway-core/src/dispatch/reporting.rs
+++ b/crates/citronway-core/src/dispatch/reporting.rs
@@ -78,7 +78,7 @@
 
     /// Load since the last call, for the planner.
     pub fn take_load(&mut self) -> EndpointLoad {
-        let begun = std::mem::take(&mut self.begun);
+        let begun = std::mem::take(&mut self.sent_by_shard);
         let mut requests = 0;
         let mut shards = Vec::with_capacity(begun.len());
         for (at, count) in begun {
@@ -90,18 +90,18 @@
             });
         }
         let mut hot = Vec::new();
-        for key in self.hot.top(HOT_KEYS_REPORTED) {
+        for key in self.hot_keys.top(HOT_KEYS_REPORTED) {
             hot.push(HotKey {
                 service: key.key.service.clone(),
                 hash: KeyHash::of(&key.key.key),
                 requests: key.at_least,
             });
         }
-        self.hot.clear();
+        self.hot_keys.clear();
         EndpointLoad {
             endpoint: self.name.clone(),
             requests,
-            service_ms: self.times.mean_ms(),
+            service_ms: self.service_times.mean_ms(),
             queued: self.queue.len() as u64,
             draining: self.is_draining(),
             hot,
@@ -121,7 +121,7 @@
         if unreachable && self.quiet {
             // Shards that were assigned since the endpoint fell silent are told
             // free by this report as well, so they must be barred as well.
-            self.bar_shards();
+            self.release_idle_shards();
         }
         if unreachable {
             let quiet = self.quiet;
@@ -148,15 +148,15 @@
         // other endpoints. Were the endpoint to come back and be granted them
         // again meanwhile, they would have two owners; so they stay barred
         // until the assignment gives them a new epoch.
-        self.bar_shards();
+        self.release_idle_shards();
     }
 
     /// An endpoint that checks cannot commit what it still runs. One that does
     /// not check may: shards with such orders are waited for, one by one.
-    fn bar_shards(&mut self) {
+    fn release_idle_shards(&mut self) {
         let checks = self.endpoint.checks_orders;
         let slots = &self.slots;
         self.grants
-            .release_idle(|part| !checks && slots.any_in(part));
+            .release_idle(|part| !checks && slots.has_order_in(part));
     }
 }
--- a/crates/citronway-core/src/dispatch/sending.rs
+++ b/crates/citronway-core/src/dispatch/sending.rs
@@ -3,7 +3,7 @@
 use super::health::Reach;
 use super::machine::Dispatcher;
 use super::message::{DispatchAction, Turn};
-use super::queue::Waiting;
+use super::queue::QueuedRequest;
 use super::slots::{Order, OrderState};
 use crate::request::Fence;
 use crate::time::{Now, Wall};
@@ -43,8 +43,11 @@
     /// against the limit, which it has lowered already: counted twice, one lost
     /// order would stop an endpoint of two slots until its deadline.
     fn has_slot(&self, now: Wall) -> bool {
-        let all = self.limit.most();
-        let taken = self.slots.used().saturating_add(self.foreign_orders(now));
+        let all = self.limit.max_slots();
+        let taken = self
+            .slots
+            .used()
+            .saturating_add(self.predecessor_orders_running(now));
         taken < all && self.slots.running() < self.limit.slots()
     }
 
@@ -52,12 +55,12 @@
     ///
     /// Until they must be over, the endpoint's own count of them is believed.
     /// One slot is used all the same, or a wrong count would stop all work.
-    fn foreign_orders(&self, now: Wall) -> u32 {
+    fn predecessor_orders_running(&self, now: Wall) -> u32 {
         let longest_ms = self.cfg.max_order_ms + self.cfg.skew_ms;
         if now >= self.started.wall.plus(longest_ms) {
             return 0;
         }
-        self.foreign.min(self.limit.most() - 1)
+        self.predecessor_orders.min(self.limit.max_slots() - 1)
     }
 
     /// The next request, with two kinds passed over as long as another waits:
@@ -67,31 +70,32 @@
     /// - one that will most likely miss its deadline. The earliest deadline
     ///   goes first, so under overload every request would be begun just too
     ///   late, time out in its slot, and make the next one too late.
-    fn pick(&mut self, now: Now) -> Option<Waiting> {
+    fn pick(&mut self, now: Now) -> Option<QueuedRequest> {
         let most = self.limit.slots() * u32::from(self.cfg.key_share) / 100;
         let grants = &self.grants;
         let slots = &self.slots;
-        let times = &self.times;
-        let ready = |waiting: &Waiting| {
+        let times = &self.service_times;
+        let ready = |waiting: &QueuedRequest| {
             let in_time = waiting.not_before <= now.wall && waiting.request.deadline > now.wall;
             in_time && grants.is_live(&waiting.at, now.wall)
         };
-        let hopeful = |waiting: &Waiting| {
+        let hopeful = |waiting: &QueuedRequest| {
             let done = now.wall.plus(times.ms(&waiting.request.class));
             ready(waiting) && done <= waiting.request.deadline
         };
-        let modest =
-            |waiting: &Waiting| hopeful(waiting) && slots.used_by_key(&waiting.key()) < most.max(1);
-        if let Some(waiting) = self.queue.pick(now.mono, modest) {
+        let modest = |waiting: &QueuedRequest| {
+            hopeful(waiting) && slots.used_by_key(&waiting.key()) < most.max(1)
+        };
+        if let Some(waiting) = self.queue.pop_fit(now.mono, modest) {
             return Some(waiting);
         }
-        if let Some(waiting) = self.queue.pick(now.mono, hopeful) {
+        if let Some(waiting) = self.queue.pop_fit(now.mono, hopeful) {
             return Some(waiting);
         }
-        self.queue.pick(now.mono, ready)
+        self.queue.pop_fit(now.mono, ready)
     }
 
-    fn send(&mut self, waiting: Waiting, turn: Turn) {
+    fn send(&mut self, waiting: QueuedRequest, turn: Turn) {
         let Some(held) = self.grants.get(&waiting.at) else {
             return;
         };
@@ -107,8 +111,8 @@
         // that wait and act beside the next owner.
         let latest = turn.now.wall.plus(self.cfg.max_order_ms);
         request.deadline = request.deadline.min(latest);
-        self.hot.add(&key);
-        *self.begun.entry(waiting.at.clone()).or_insert(0) += 1;
+        self.hot_keys.add(&key);
+        *self.sent_by_shard.entry(waiting.at.clone()).or_insert(0) += 1;
         let order = Order {
             origin: waiting.origin,
             id: request.id,
@@ -121,9 +125,9 @@
             state: OrderState::Running,
             cancelling: false,
         };
-        self.grants.note_sent(&order.at, turn.now.wall);
+        self.grants.record_order_sent(&order.at, turn.now.wall);
         let ticket = self.ticket();
-        self.slots.take(ticket, order);
+        self.slots.occupy(ticket, order);
         self.out.push(DispatchAction::SendOrder {
             ticket,
             fence,
--- a/crates/citronway-core/src/dispatch/service.rs
+++ b/crates/citronway-core/src/dispatch/service.rs
@@ -49,7 +49,7 @@
     }
 
     /// Takes in an answered order.
-    pub fn learn(&mut self, class: &ClassName, took_ms: u64) {
+    pub fn record(&mut self, class: &ClassName, took_ms: u64) {
         let took_us = took_ms * US;
         let all = self.all.get_or_insert(Means::first(took_us));
         all.learn(took_us);
--- a/crates/citronway-core/src/dispatch/settling.rs
+++ b/crates/citronway-core/src/dispatch/settling.rs
@@ -3,7 +3,7 @@
 use super::arriving::running_elsewhere;
 use super::machine::Dispatcher;
 use super::message::Turn;
-use super::queue::Waiting;
+use super::queue::QueuedRequest;
 use super::slots::{Order, OrderState};
 use crate::ids::RequestId;
 use crate::node::events::{OrderReply, RefusedReason, Ticket};
@@ -56,13 +56,13 @@
         for ticket in self.slots.overdue(now) {
             self.unresolved(ticket, MayHaveRunReason::Timeout, turn);
         }
-        for ticket in self.slots.over(now, self.cfg.skew_ms) {
+        for ticket in self.slots.expired(now, self.cfg.skew_ms) {
             self.slots.free(ticket);
         }
     }
 
     /// Answers a request that leaves the queue without having been sent.
-    pub(super) fn give_up(&mut self, waiting: &Waiting, reason: NotRunReason) {
+    pub(super) fn give_up(&mut self, waiting: &QueuedRequest, reason: NotRunReason) {
         let outcome = Outcome::NotRun(NotRun::new(reason, self.retry_after_ms(reason)));
         let req = &waiting.request;
         self.conclude(waiting.origin, req.id, req.repeat, outcome);
@@ -77,12 +77,13 @@
 
     fn learn(&mut self, order: &Order, turn: Turn) {
         let now = turn.now.mono;
-        self.times.learn(&order.class, now.since(order.sent));
-        if self.times.is_slow(&order.class) {
-            self.limit.slowed(self.times.mean_ms(), now);
+        self.service_times
+            .record(&order.class, now.since(order.sent));
+        if self.service_times.is_slow(&order.class) {
+            self.limit.on_slow_answer(self.service_times.mean_ms(), now);
             return;
         }
-        self.limit.answered();
+        self.limit.on_answered();
     }
 
     fn on_refused(&mut self, ticket: Ticket, reason: RefusedReason, turn: Turn) {
@@ -93,11 +94,12 @@
             RefusedReason::Shed => NotRunReason::EndpointShed,
         };
         if reason == NotRunReason::EndpointShed {
-            self.limit.shed(self.times.mean_ms(), turn.now.mono);
+            self.limit
+                .on_shed(self.service_times.mean_ms(), turn.now.mono);
         }
         self.settle_not_run(ticket, reason);
         if reason == NotRunReason::Draining {
-            self.health.refused_as_draining();
+            self.health.on_draining_refusal();
             self.give_up_all(NotRunReason::Draining);
         }
     }
@@ -121,7 +123,8 @@
         }
         order.state = OrderState::Unresolved;
         let order = order.clone();
-        self.limit.unanswered(self.times.mean_ms(), turn.now.mono);
+        self.limit
+            .on_unanswered(self.service_times.mean_ms(), turn.now.mono);
         self.ask_cancel(ticket);
         let may = MayHaveRun {
             reason,
--- a/crates/citronway-core/src/dispatch/share.rs
+++ b/crates/citronway-core/src/dispatch/share.rs
@@ -17,7 +17,7 @@
 
 /// Account of one class: slot time due minus slot time had.
 #[derive(Debug, Clone)]
-pub struct Share {
+pub struct KeptShare {
     hundredths: u8,
     /// In hundredths of a slot, times milliseconds.
     balance: i64,
@@ -25,7 +25,7 @@
     counted_until: Option<Mono>,
 }
 
-impl Share {
+impl KeptShare {
     /// An even account. More than the whole is taken for the whole.
     #[must_use]
     pub const fn new(hundredths: u8) -> Self {
@@ -44,7 +44,7 @@
 
     /// Slot time that the class has had too little, zero if none.
     #[must_use]
-    pub const fn owed(&self) -> i64 {
+    pub const fn deficit(&self) -> i64 {
         if self.balance > 0 { self.balance } else { 0 }
     }
 
--- a/crates/citronway-core/src/dispatch/slots.rs
+++ b/crates/citronway-core/src/dispatch/slots.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-use super::message::{KeyPart, KeyRef, ShardRef};
+use super::message::{KeyRange, KeyRef, ShardRef};
 use crate::ids::{ClassName, RequestId};
 use crate::node::events::Ticket;
 use crate::request::Repeat;
@@ -81,7 +81,7 @@
 
     /// Whether an order of the shard may be running.
     #[must_use]
-    pub fn any_in(&self, part: &KeyPart) -> bool {
+    pub fn has_order_in(&self, part: &KeyRange) -> bool {
         self.orders.values().any(|order| part.has(&order.key))
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Takes a slot.
-    pub fn take(&mut self, ticket: Ticket, order: Order) {
+    pub fn occupy(&mut self, ticket: Ticket, order: Order) {
         self.orders.insert(ticket, order);
     }
 
@@ -107,7 +107,7 @@
 
     /// Ticket of the running order that answers an origin.
     #[must_use]
-    pub fn of_origin(&self, origin: Ticket) -> Option<Ticket> {
+    pub fn running_by_origin(&self, origin: Ticket) -> Option<Ticket> {
         self.find(|order| order.origin == origin && order.state == OrderState::Running)
     }
 
@@ -125,7 +125,7 @@
 
     /// Orders that cannot act any more.
     #[must_use]
-    pub fn over(&self, now: Wall, skew_ms: u64) -> Vec<Ticket> {
+    pub fn expired(&self, now: Wall, skew_ms: u64) -> Vec<Ticket> {
         self.select(|order| order.deadline.plus(skew_ms) <= now)
     }
 
--- a/crates/citronway-core/tests/dispatch_load.rs
+++ b/crates/citronway-core/tests/dispatch_load.rs
@@ -2,7 +2,7 @@
 
 mod dispatch_support;
 
-use citronway_core::dispatch::share::Share;
+use citronway_core::dispatch::share::KeptShare;
 use citronway_core::dispatch::{DispatchEvent, DispatchSettings};
 use citronway_core::node::events::{OrderReply, ProbeReport, RefusedReason};
 use citronway_core::outcome::Outcome;
@@ -64,11 +64,11 @@
 
 #[gtest]
 fn nothing_is_owed_for_the_time_before_the_first_count() {
-    let mut share = Share::new(25);
+    let mut share = KeptShare::new(25);
     share.pass_time(Mono(9_000), 2, 0, true);
-    expect_that!(share.owed(), eq(0));
+    expect_that!(share.deficit(), eq(0));
     share.pass_time(Mono(9_010), 2, 0, true);
-    expect_that!(share.owed(), eq(500));
+    expect_that!(share.deficit(), eq(500));
 }
 
 #[gtest]
