--- a/crates/citronway-core/benches/dispatch.rs
+++ b/crates/citronway-core/benches/dispatch.rs
@@ -1,4 +1,4 @@
-//! How the cost of a dispatcher's decisions grows with what it holds.
+//! Cost of a dispatcher's decisions by the number of queued requests and known ids.
 
 use std::hint::black_box;
 
@@ -23,7 +23,7 @@
 const KNOWN: [u64; 3] = [1_000, 10_000, 100_000];
 const COUNTERS: [usize; 3] = [64, 512, 4_096];
 
-/// Spreads consecutive numbers, always in the same way.
+/// Deterministic hash that spreads consecutive numbers.
 const fn spread(n: u64) -> u64 {
     n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32
 }
@@ -148,7 +148,8 @@
         group.bench_function(BenchmarkId::from_parameter(counters), |b| {
             b.iter(|| {
                 n += 1;
-                // Every key is new, so that each displaces another.
+                // Every key is new, so that each evicts another.
+                
                 sketch.add(black_box(&n));
             });
         });
--- a/crates/citronway-core/src/dispatch/admission.rs
+++ b/crates/citronway-core/src/dispatch/admission.rs
@@ -1,47 +1,47 @@
-//! Which requests are taken on arrival.
+//! Admission control of requests on arrival.
 //!
-//! A request that cannot be finished by its deadline only takes a slot from one
+//! A request that cannot be finished by its deadline would take a slot from one
 //! that can, so it is refused at once with the time after which there is room.
 
 use super::queue::WorkAhead;
 use crate::outcome::{NotRun, NotRunReason};
 use crate::time::Wall;
 
-/// Hundredths in a whole.
+/// Whole share, in hundredths.
 const WHOLE: u64 = 100;
 
-/// Load of the endpoint as a request finds it.
+/// Load of the endpoint when a request arrives.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
     /// Deadline of the request.
     pub deadline: Wall,
-    /// Work before it.
+    /// Queued work that goes before the request.
     pub ahead: WorkAhead,
-    /// Mean service time of its class, in milliseconds.
+    /// Mean service time of the request's class, in milliseconds.
     pub service_ms: u64,
-    /// Mean service time of the orders that hold a slot, in milliseconds.
+    /// Mean service time of the orders in slots, in milliseconds.
     pub running_ms: u64,
-    /// Orders that hold a slot.
+    /// Number of orders in slots.
     pub running: u32,
-    /// Slots that may be used.
+    /// Number of slots that may be used.
     pub slots: u32,
-    /// Time until all that waits and runs is done, in milliseconds.
+    /// Estimated time until all queued and running work is done, in milliseconds.
     pub drain_ms: u64,
-    /// Requests that wait, of all classes.
+    /// Number of queued requests of all classes.
     pub waiting: usize,
-    /// Requests of its key that wait.
+    /// Number of queued requests of the same key.
     pub waiting_of_key: usize,
-    /// Most requests that wait.
+    /// Maximum number of queued requests.
     pub queue_max: usize,
-    /// Most hundredths of the queue for one key.
+    /// Maximum share of the queue for one key, in hundredths.
     pub key_share: u8,
 }
 
-/// Decides about a request on its arrival.
+/// Decides whether a request is admitted on arrival.
 ///
 /// # Errors
 ///
-/// Returns why the request is refused, and when there will be room.
+/// Returns why the request is refused, and after what time to retry.
 pub fn admit(arrival: &Arrival, now: Wall) -> Result<(), NotRun> {
     if arrival.deadline <= now {
         return Err(NotRun::new(NotRunReason::Expired, 0));
@@ -53,10 +53,10 @@
     if is_key_over_share(arrival) {
         return Err(NotRun::new(NotRunReason::HotKeyLimited, drain_ms));
     }
-    // After a few very slow answers the estimate alone would refuse everything,
-    // no order would be sent, and the estimate would never come down again: the
-    // endpoint stays refused though it is idle and fast. An idle endpoint
-    // therefore always gets the request, which measures it anew.
+    // After a few very slow answers the estimate alone would refuse every
+    // request. No order would be sent, so the estimate would never be corrected
+    // although the endpoint is idle and fast. An idle endpoint therefore always
+    // gets the request, which updates the estimate.
     if arrival.running == 0 && arrival.waiting == 0 {
         return Ok(());
     }
@@ -67,19 +67,20 @@
     Ok(())
 }
 
-/// A key may fill its share of the queue; the rest stays free for others, or one
-/// hot key would have every other key refused. That holds while no other waits as
-/// well: the first of them would find the queue full.
+/// Whether the request's key has filled its share of the queue. The rest stays
+/// free for other keys; otherwise one hot key would cause all others to be
+/// refused. The limit also holds while no other key is queued, so that the first
+/// request of another key does not find the queue full.
 fn is_key_over_share(arrival: &Arrival) -> bool {
     let most = arrival.queue_max * usize::from(arrival.key_share) / 100;
     arrival.waiting_of_key >= most.max(1)
 }
 
-/// Time until a slot is free for the request, in milliseconds.
+/// Estimated time until a slot is free for the request, in milliseconds.
 ///
-/// All that goes before it has to be begun, at the pace of its class if that
-/// is slower, and one more order has to end. The kept share bounds the wait
-/// from above.
+/// All work before it has to be started, at the service interval of its class
+/// if that is slower, and one more order has to end. The kept share of the class
+/// bounds the wait from above.
 fn wait_ms(arrival: &Arrival) -> u64 {
     let slots = u64::from(arrival.slots.max(1));
     let free = slots.saturating_sub(u64::from(arrival.running));
--- a/crates/citronway-core/src/dispatch/answers.rs
+++ b/crates/citronway-core/src/dispatch/answers.rs
@@ -1,4 +1,4 @@
-//! Answers kept for duplicates, up to a number of bytes.
+//! Cache of answers for duplicates, bounded in bytes.
 
 use std::collections::VecDeque;
 
@@ -7,10 +7,10 @@
 use crate::ids::RequestId;
 use crate::outcome::Answer;
 
-/// Bytes counted for an answer besides its body.
+/// Overhead counted for each answer in addition to its body, in bytes.
 const OVERHEAD: usize = 128;
 
-/// Answers by id; the oldest go first when there is no room.
+/// Answers by request id; the oldest are evicted first.
 #[derive(Debug)]
 pub struct AnswerCache {
     kept: IndexMap<RequestId, Answer>,
@@ -20,7 +20,7 @@
 }
 
 impl AnswerCache {
-    /// No answers; room for `max_bytes` bytes.
+    /// Creates an empty cache with room for `max_bytes` bytes.
     #[must_use]
     pub fn new(max_bytes: usize) -> Self {
         Self {
@@ -31,13 +31,13 @@
         }
     }
 
-    /// The kept answer.
+    /// The cached answer; `None` if there is none.
     #[must_use]
     pub fn get(&self, id: RequestId) -> Option<&Answer> {
         self.kept.get(&id)
     }
 
-    /// Keeps an answer, unless it alone is too large.
+    /// Caches an answer, unless it is larger than the whole cache.
     pub fn keep(&mut self, id: RequestId, answer: Answer) {
         let size = size(&answer);
         if size > self.max_bytes {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Forgets an answer.
+    /// Removes an answer, if there is one.
     pub fn forget(&mut self, id: RequestId) {
         if self.drop_answer(id) {
             self.order.retain(|other| *other != id);
--- a/crates/citronway-core/src/dispatch/arriving.rs
+++ b/crates/citronway-core/src/dispatch/arriving.rs
@@ -1,4 +1,4 @@
-//! Requests that come in, and callers that go.
+//! Handling of submitted requests and of cancellations by callers.
 
 use super::admission::{Arrival, admit};
 use super::duplicates::Verdict;
@@ -15,7 +15,7 @@
 use crate::request::{Repeat, Request};
 use crate::time::Wall;
 
-/// Least time to come back after, in milliseconds.
+/// Shortest retry-after time, in milliseconds.
 const LEAST_RETRY_MS: u64 = 10;
 
 impl Dispatcher {
@@ -31,8 +31,8 @@
             shard,
         };
         let fingerprint = Fingerprint::of(&request);
-        // Whether the id is known goes before every reason to refuse: a repeat
-        // of a request that is running would be told `not run` otherwise.
+        // The id is looked up before any check that may refuse the request:
+        // otherwise a repeat of a running request would be answered `not run`.
         let not_before = match self.verdict(&request, fingerprint, &at, turn) {
             Verdict::New { not_before } => not_before,
             Verdict::Pending => return self.wait_for(origin, &request),
@@ -57,8 +57,9 @@
         self.enqueue(waiting, fingerprint);
     }
 
-    /// The caller of a request has gone. Work that may be repeated is stopped;
-    /// other work runs on, so that its outcome is known when it is asked for.
+    /// Handles a caller that has gone. A queued request is dropped unless
+    /// duplicates wait for it. A running idempotent order is cancelled; a
+    /// non-idempotent one runs on, so that its outcome is known to a repeat.
     pub(super) fn on_cancel(&mut self, origin: Ticket) {
         if let Some(id) = self.queue.id_of(origin) {
             if self.waiters.len_of(id) > 0 {
@@ -78,8 +79,8 @@
         }
     }
 
-    /// When there will be room again, or when what keeps the work away may have
-    /// passed, in milliseconds.
+    /// Retry-after time for a refusal, in milliseconds: the time until there is
+    /// room, or until the reason may no longer hold.
     pub(super) fn retry_after_ms(&self, reason: NotRunReason) -> u64 {
         match reason {
             NotRunReason::Draining
@@ -133,20 +134,20 @@
         admit(&arrival, turn.now.wall)
     }
 
-    /// Service time of the orders that hold a slot, in milliseconds.
+    /// Sum of the mean service times of the orders in slots, in milliseconds.
     fn running_ms(&self) -> u64 {
         let classes = self.slots.classes();
         classes.map(|class| self.service_times.ms(class)).sum()
     }
 
-    /// Time until all that waits and runs is done, in milliseconds.
+    /// Estimated time until all queued and running work is done, in milliseconds.
     fn drain_ms(&self) -> u64 {
         let work_ms = self.queue.work_ms(&self.service_times) + self.running_ms();
         let ms = work_ms / u64::from(self.limit.slots());
         ms.max(LEAST_RETRY_MS)
     }
 
-    /// Why no new work is taken for a shard at all.
+    /// Why no new request for the shard is accepted; `None` if it is open.
     fn refusal_reason(&self, at: &ShardRef, turn: Turn) -> Option<NotRunReason> {
         if self.retired.is_some() {
             return self.retired;
@@ -179,7 +180,7 @@
         self.queue.push(waiting);
     }
 
-    /// Lets a duplicate wait for the answer of the request it repeats.
+    /// Adds a duplicate to the waiters for the answer of the request it repeats.
     fn wait_for(&mut self, origin: Ticket, request: &Request) {
         let id = request.id;
         if self.waiters.len_of(id) >= self.cfg.max_waiters {
@@ -202,8 +203,8 @@
     }
 }
 
-/// Told to a duplicate that does not get to know the outcome: the request it
-/// repeats may run yet, so `not run` would be wrong.
+/// Outcome for a duplicate that stops waiting before the outcome is known. The
+/// request it repeats may still run, so `not run` would be wrong.
 pub(super) const fn running_elsewhere() -> Outcome {
     Outcome::MayHaveRun(MayHaveRun {
         reason: MayHaveRunReason::Timeout,
--- a/crates/citronway-core/src/dispatch/duplicates.rs
+++ b/crates/citronway-core/src/dispatch/duplicates.rs
@@ -1,13 +1,14 @@
-//! Ids of non-idempotent requests that were taken, so that none is sent twice.
+//! Deduplication table: ids of accepted non-idempotent requests, so that none is
+//! sent twice.
 //!
-//! Every id created since the floor is in the table if it was ever sent on;
-//! older ones may have been and are not run. Forgetting an id is safe only
-//! below the floor, so the floor is raised before ids are dropped.
+//! Every id created at or after the floor is in the table if it was ever sent to
+//! the endpoint. Older ids may have been sent and are not run. An id may be
+//! dropped only below the floor, so the floor is raised before ids are dropped.
 //!
-//! No id is sent on before its time of creation has come on this instance's
-//! clock. A successor that sets its floor to the time of the takeover, plus
-//! the skew between instances, has then covered every id of its predecessor,
-//! however fast the callers' clocks are.
+//! No id is sent before its time of creation has come on this instance's clock.
+//! A successor that sets its floor to the time of the takeover, plus the skew
+//! bound between instances, therefore covers every id of its predecessor, however
+//! fast the callers' clocks are.
 
 use std::collections::BTreeMap;
 
@@ -20,45 +21,46 @@
 use crate::peer::{KnownRequest, KnownRequests};
 use crate::time::Wall;
 
-/// What the table says about a request.
+/// Result of looking a request up.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// Not seen before: it may be sent, but not before `not_before`.
+    /// Not known: it may be sent, but not before `not_before`.
     New {
-        /// When its time of creation has passed for sure.
+        /// Time of creation of the id.
         not_before: Wall,
     },
     /// The same request is waiting or running.
     Pending,
     /// Its outcome is known.
     Settled(Outcome),
-    /// It cannot be taken.
+    /// The request is invalid.
     Fault(RequestFault),
-    /// No room for its id; it is not taken and did not run.
+    /// The table has no room for the id; the request is not accepted and did not
+    /// run.
     NoRoom,
 }
 
 #[derive(Debug, Clone)]
 enum State {
     Pending,
-    /// Its answer is kept, or gone.
+    /// Answered; the answer may have been dropped.
     Answered,
     MayHaveRun(MayHaveRun),
 }
 
 #[derive(Debug, Clone)]
 struct Known {
-    /// Absent if another dispatcher took the request.
+    /// `None` if the predecessor that accepted the request did not pass it on.
     fingerprint: Option<Fingerprint>,
     state: State,
 }
 
-/// Most ids in a handover, so that it fits into one message.
+/// Maximum number of ids in a handover, so that it fits into one message.
 const EXPORTED_IDS: usize = 16_384;
-/// Most bytes of kept answers in a handover.
+/// Maximum size of the answer bodies in a handover, in bytes.
 const EXPORTED_ANSWER_BYTES: usize = 1 << 20;
 
-/// The table of one dispatcher.
+/// Deduplication table of one dispatcher.
 #[derive(Debug)]
 pub struct Duplicates {
     /// By id, which for UUIDs of version 7 is by time of creation; an
@@ -73,7 +75,7 @@
 }
 
 impl Duplicates {
-    /// An empty table that knows every id created at `floor` or later.
+    /// Creates an empty table. Ids created before `floor` are not run.
     #[must_use]
     pub fn new(cfg: &DispatchSettings, floor: Wall) -> Self {
         Self {
@@ -93,7 +95,7 @@
         self.floor
     }
 
-    /// Ids in the table.
+    /// Number of ids in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.known.len()
@@ -105,7 +107,7 @@
         self.known.is_empty()
     }
 
-    /// Looks a request up. `shard_floor` is the floor of its shard.
+    /// Looks a request up by its id. `shard_floor` is the floor of its shard.
     #[must_use]
     pub fn check(
         &self,
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Takes the id of a request that [`Self::check`] found new.
+    /// Adds the id of a request that [`Self::check`] found new.
     pub fn take(&mut self, id: RequestId, fingerprint: Fingerprint) {
         let known = Known {
             fingerprint: Some(fingerprint),
@@ -149,8 +151,8 @@
         }
     }
 
-    /// Notes the outcome of a request that was taken. One that did not run may
-    /// be tried again under the same id; any other never.
+    /// Records the outcome of an accepted request. A request that did not run may
+    /// be tried again under the same id; any other is never run again.
     pub fn settle(&mut self, id: RequestId, outcome: &Outcome) {
         let Some(known) = self.known.get_mut(&id) else {
             return;
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Raises the floor to the window and drops what lies below it.
+    /// Raises the floor to the start of the window and drops the ids below it.
     pub fn pass_time(&mut self, now: Wall) {
         self.raise(now.minus(self.window_ms));
         while let Some((&id, known)) = self.known.first_key_value() {
@@ -180,8 +182,8 @@
         }
     }
 
-    /// What the table knows, for a successor; the newest ids if there are more
-    /// than a message holds, with the floor above the others.
+    /// Content of the table for a successor. If there are more ids than fit into
+    /// a message, these are the newest, and the floor lies above the others.
     #[must_use]
     pub fn export(&self) -> KnownRequests {
         let mut requests = Vec::new();
@@ -207,15 +209,17 @@
         KnownRequests { floor, requests }
     }
 
-    /// A kept answer as long as there is room for it in the message.
+    /// The kept answer; `None` if there is none or it does not fit into `room`,
+    /// the bytes left in the message.
     fn exported_answer(&self, id: RequestId, room: &mut usize) -> Option<Outcome> {
         let answer = self.answers.get(id)?;
         *room = room.checked_sub(answer.body.len())?;
         Some(Outcome::Answered(answer.clone()))
     }
 
-    /// Takes over what a predecessor knew. An answer without the fingerprint of
-    /// its request is not kept: it is not sure whose answer it is.
+    /// Imports the table of a predecessor. An answer without the fingerprint of
+    /// its request is not kept: a request with the same id could not be compared
+    /// with the one that was answered.
     pub fn import(&mut self, known: &KnownRequests) {
         self.raise(known.floor);
         for req in &known.requests {
@@ -235,9 +239,9 @@
     }
 
     fn verdict(&self, id: RequestId, known: &Known, fingerprint: Fingerprint) -> Verdict {
-        // Two requests under one id, say by a caller that draws its ids badly:
-        // the second would get the first one's answer as its own. All that
-        // makes up the request is compared before anything is answered.
+        // Two different requests may have the same id, for instance if a caller
+        // generates ids badly. The second must not get the first one's answer,
+        // so the fingerprints are compared before any reply.
         if known.fingerprint.is_some_and(|first| first != fingerprint) {
             return Verdict::Fault(RequestFault::IdReused);
         }
@@ -258,10 +262,10 @@
         Outcome::Answered(answer.clone())
     }
 
-    /// Room for one more id, at need by dropping the oldest. Dropping it raises
-    /// the floor; past the shortest window that would answer `may have run` to
-    /// callers who have only just created their ids, so new work is refused as
-    /// not run instead.
+    /// Whether one more id can be added, if necessary by dropping the oldest.
+    /// Dropping it raises the floor. With a window below the minimum, callers that
+    /// have just created their ids would be answered `may have run`, so new
+    /// requests are refused as not run instead.
     fn has_room(&self, now: Wall) -> bool {
         if self.known.len() < self.max_ids {
             return true;
@@ -274,8 +278,9 @@
         old && !matches!(known.state, State::Pending)
     }
 
-    /// Drops the oldest id, with the floor raised above it first: a late
-    /// duplicate of it would find neither the id nor a floor, and run again.
+    /// Raises the floor above the oldest id, then drops the id. Without the
+    /// raised floor a late duplicate of it would run again. Returns false if the
+    /// oldest request is still pending, or if there is none.
     fn drop_oldest(&mut self) -> bool {
         let Some((&id, known)) = self.known.first_key_value() else {
             return false;
--- a/crates/citronway-core/src/dispatch/fingerprint.rs
+++ b/crates/citronway-core/src/dispatch/fingerprint.rs
@@ -1,30 +1,31 @@
-//! What a request asks for, in a few bytes.
+//! Hash of a request's content.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::request::Request;
 
-/// Hash of all that makes two requests the same work. Not made against forgers:
-/// the callers of one id are trusted to be the same caller.
+/// Hash of everything that identifies the content of a request. It is not
+/// cryptographic: requests with the same id are assumed to come from the same
+/// caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// As bytes, most significant first.
+    /// Converts to bytes, most significant first.
     #[must_use]
     pub const fn to_bytes(self) -> [u8; 16] {
         self.0.to_be_bytes()
     }
 
-    /// From the bytes of [`Self::to_bytes`].
+    /// Converts from the bytes of [`Self::to_bytes`].
     #[must_use]
     pub const fn from_bytes(bytes: [u8; 16]) -> Self {
         Self(u128::from_be_bytes(bytes))
     }
 
-    /// Hashes service, key, method, path, media type and body.
+    /// Hashes the service, key, method, path, media type and body of a request.
     #[must_use]
     pub fn of(req: &Request) -> Self {
         let mut hash = Xxh3::new();
@@ -41,7 +42,8 @@
     }
 }
 
-/// Adds a part after its length, so that no part can pass for the next one.
+/// Hashes the length of a part and then the part, so that bytes cannot shift
+/// between parts without changing the hash.
 fn add(hash: &mut Xxh3, part: &[u8]) {
     hash.update(&(part.len() as u64).to_le_bytes());
     hash.update(part);
--- a/crates/citronway-core/src/dispatch/granting.rs
+++ b/crates/citronway-core/src/dispatch/granting.rs
@@ -1,4 +1,4 @@
-//! Grants, revocations and probes, and what comes back for them.
+//! Sending of grants, revocations and probes, and handling of their answers.
 
 use super::health::Reach;
 use super::machine::Dispatcher;
@@ -31,7 +31,8 @@
         self.update_predecessor_orders();
     }
 
-    /// Moves shards on their way out, as far as silence allows.
+    /// Advances moving shards towards their release, as far as live grants and
+    /// running orders allow.
     pub(super) fn release_shards(&mut self, turn: Turn) {
         let bounds = self.bounds();
         for part in self.grants.stop_moving(turn.now.wall, bounds) {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Sends grants and revocations that are due.
+    /// Sends the grants and revocations that are due.
     pub(super) fn send_control(&mut self, turn: Turn) {
         let due = turn.now.mono >= self.next_renewal;
         if due {
@@ -61,9 +62,9 @@
         }
     }
 
-    /// An endpoint that has stopped answering is probed without shards: each
-    /// further grant would put off the moment from which it certainly holds
-    /// nothing, and with it the recovery of its keys.
+    /// Whether shards may be granted. An endpoint that has stopped answering is
+    /// probed without shards: each further grant would delay the time at which
+    /// all its grants have ended, and with it the recovery of its keys.
     const fn may_grant(&self) -> bool {
         !self.quiet && !self.health.stale() && !self.health.has_failed_probe()
     }
@@ -133,9 +134,9 @@
         self.out.push(DispatchAction::EndpointBack);
     }
 
-    /// Orders that run at the endpoint beside those sent from here. It is
-    /// counted down only, so that a count that lags does not take slots away
-    /// again for orders of this dispatcher.
+    /// Updates the number of predecessor's orders from the endpoint's report. It
+    /// only decreases, so that a report that lags behind does not count orders of
+    /// this dispatcher as the predecessor's.
     fn update_predecessor_orders(&mut self) {
         let Some(running) = self.health.reported_running() else {
             return;
--- a/crates/citronway-core/src/dispatch/grants.rs
+++ b/crates/citronway-core/src/dispatch/grants.rs
@@ -1,4 +1,4 @@
-//! Which shards the endpoint holds, and until when at the latest.
+//! Leases of shards to the endpoint: their phase and their latest possible end.
 
 use indexmap::IndexMap;
 
@@ -8,50 +8,50 @@
 use crate::node::events::{GrantedShard, Ticket};
 use crate::time::Wall;
 
-/// How far a shard has come on its way in and out.
+/// Phase of a shard's lease at the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// Granted and renewed.
     Serving,
-    /// No new work; its orders are waited for.
+    /// Draining: no new orders; those in flight are waited for.
     Stopping,
-    /// No order is left; it is being revoked.
+    /// No order is in flight; the grant is being revoked.
     Revoking,
-    /// The endpoint holds nothing of it. Never granted again under its epoch:
-    /// the planner may have given it to another endpoint by now.
+    /// The endpoint no longer holds the shard. It is never granted again under
+    /// this epoch: the planner may have assigned it to another endpoint.
     Released,
 }
 
-/// A shard at the endpoint.
+/// A shard assigned to the endpoint, with the state of its lease.
 #[derive(Debug, Clone)]
 pub struct HeldShard {
     /// The shard as assigned.
     pub owned: OwnedShard,
-    /// How far it has come.
+    /// Phase of its lease.
     pub phase: Phase,
-    /// Latest end that the endpoint has confirmed.
+    /// Latest grant end that the endpoint has confirmed.
     acked_end: Wall,
-    /// Latest end that was ever sent, confirmed or not.
+    /// Latest grant end ever sent, confirmed or not.
     latest_end: Wall,
-    /// A grant, or a revocation in that phase, has been sent.
+    /// Whether a grant has been sent, or a revocation if it is being revoked.
     sent_in_phase: bool,
-    /// When the last order for one of its keys was sent.
+    /// Time of the last order for one of its keys; zero if there was none.
     last_sent: Wall,
 }
 
-/// What is true of the endpoint beyond this dispatcher's own grants.
+/// What limits the endpoint's activity apart from this dispatcher's grants.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Whether it checks epochs and ends.
+    /// Whether the endpoint checks the epochs and ends of grants.
     pub checks_orders: bool,
-    /// Nothing that an earlier dispatcher left there can act after this; the
+    /// Grants and orders of earlier dispatchers have ended by this time; the
     /// skew bound is included.
     pub inherited_until: Wall,
     /// Bound on the difference of two wall clocks, in milliseconds.
     pub skew_ms: u64,
 }
 
-/// A shard that its next owner may have.
+/// A released shard, which another endpoint may own.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReleasedShard {
     /// The shard.
@@ -67,19 +67,19 @@
 pub struct Grants {
     shards: IndexMap<ShardRef, HeldShard>,
     sent: SentGrants,
-    /// Latest end that was ever sent for any shard.
+    /// Latest grant end ever sent for any shard.
     latest_end: Wall,
 }
 
 impl Grants {
-    /// A shard at the endpoint.
+    /// The shard's lease; `None` if the shard is not assigned to the endpoint.
     #[must_use]
     pub fn get(&self, at: &ShardRef) -> Option<&HeldShard> {
         self.shards.get(at)
     }
 
-    /// Takes in the assigned shards, all of them. Returns those that get no
-    /// new work from now on.
+    /// Replaces the set of assigned shards. Returns the key ranges of the shards
+    /// that are no longer served.
     pub fn set_owned_shards(&mut self, shards: &[OwnedShard]) -> Vec<KeyRange> {
         let mut stopped = Vec::new();
         for owned in shards {
@@ -101,12 +101,12 @@
         stopped
     }
 
-    /// Stops shards that are on their way out and could be released soon.
-    /// Returns them.
+    /// Stops serving moving shards, once they can be released soon. Returns
+    /// their key ranges.
     ///
-    /// Failure guarded against: after a takeover an endpoint that does not check
-    /// may run orders of the predecessor for long. Were its moving shards stopped
-    /// at once, nobody would serve their keys all that time.
+    /// Failure guarded against: after a takeover, an endpoint that does not check
+    /// orders may run the predecessor's orders for a long time. If its moving
+    /// shards were stopped at once, nobody would serve their keys meanwhile.
     pub fn stop_moving(&mut self, now: Wall, bounds: Bounds) -> Vec<KeyRange> {
         let mut stopped = Vec::new();
         if !bounds.checks_orders && now < bounds.inherited_until {
@@ -121,10 +121,10 @@
         stopped
     }
 
-    /// Notes that an order is being sent under a shard.
+    /// Records that an order is being sent under a shard.
     ///
-    /// One for a hot key counts for the shard around it as well, which gets the
-    /// key back when it has cooled.
+    /// An order for a hot key counts for the surrounding shard as well, which
+    /// gets the key back when the key is no longer hot.
     pub fn record_order_sent(&mut self, at: &ShardRef, now: Wall) {
         let Some(held) = self.shards.get_mut(at) else {
             return;
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Latest order under any shard that has keys in common with this one.
+    /// Time of the last order under any shard that has keys in common with this
+    /// one; zero if there was none.
     fn last_sent_overlapping(&self, owned: &OwnedShard) -> Wall {
         let near = self
             .shards
@@ -150,8 +151,8 @@
         near.map(|held| held.last_sent).max().unwrap_or_default()
     }
 
-    /// Whether an order of the shard may be sent now. The grant must have been
-    /// confirmed: an end that was merely sent may never have arrived.
+    /// Whether an order for the shard may be sent now. The grant must have been
+    /// confirmed: a grant that was only sent may never have arrived.
     #[must_use]
     pub fn is_live(&self, at: &ShardRef, now: Wall) -> bool {
         let Some(held) = self.shards.get(at) else {
@@ -160,8 +161,8 @@
         held.phase == Phase::Serving && held.acked_end > now
     }
 
-    /// Shards to grant or renew. One that is stopping is renewed as long as it
-    /// has orders: the endpoint would refuse to commit them otherwise.
+    /// Shards to grant or renew. A stopping shard is renewed while it has orders
+    /// in flight: otherwise the endpoint would refuse to commit them.
     #[must_use]
     pub fn to_grant(&self) -> Vec<GrantedShard> {
         self.in_phase(|phase| matches!(phase, Phase::Serving | Phase::Stopping))
@@ -173,25 +174,25 @@
         self.in_phase(|phase| phase == Phase::Revoking)
     }
 
-    /// Whether a shard waits for its first grant.
+    /// Whether a served shard has not been sent a grant yet.
     #[must_use]
     pub fn has_ungranted(&self) -> bool {
         let mut shards = self.shards.values();
         shards.any(|held| held.phase == Phase::Serving && !held.sent_in_phase)
     }
 
-    /// Whether a shard waits for its first revocation.
+    /// Whether a shard to revoke has not been sent a revocation yet.
     #[must_use]
     pub fn has_unrevoked(&self) -> bool {
         let mut shards = self.shards.values();
         shards.any(|held| held.phase == Phase::Revoking && !held.sent_in_phase)
     }
 
-    /// Notes a grant that is being sent.
+    /// Records a grant that is being sent.
     ///
-    /// A grant whose answer is missing may wait in the socket buffer of a
-    /// frozen endpoint and be taken in later, so from now on the shards count
-    /// as granted until `end`, whatever becomes of the message.
+    /// An unanswered grant may sit in the socket buffer of a frozen endpoint and
+    /// be processed later, so the shards count as granted until `end` from now
+    /// on, whatever the outcome of the message.
     pub fn on_grant_sent(&mut self, ticket: Ticket, end: Wall, shards: &[GrantedShard]) {
         for shard in shards {
             let Some(held) = self.shards.get_mut(&shard_epoch(shard).at) else {
@@ -204,7 +205,7 @@
         self.sent.add(ticket, SentKind::Grant { end }, shards);
     }
 
-    /// Notes a revocation that is being sent.
+    /// Records a revocation that is being sent.
     pub fn on_revocation_sent(&mut self, ticket: Ticket, shards: &[GrantedShard]) {
         for shard in shards {
             if let Some(held) = self.shards.get_mut(&shard_epoch(shard).at) {
@@ -214,8 +215,8 @@
         self.sent.add(ticket, SentKind::Revoke, shards);
     }
 
-    /// The endpoint has taken in a grant or revocation. Returns whether a
-    /// shard is released by that.
+    /// Handles the endpoint's confirmation of a grant or revocation. Returns
+    /// whether it released a shard.
     pub fn on_confirmed(&mut self, ticket: Ticket, bounds: Bounds, now: Wall) -> bool {
         let Some(sent) = self.sent.take(ticket) else {
             return false;
@@ -231,10 +232,10 @@
             match sent.kind {
                 SentKind::Grant { end } => held.acked_end = held.acked_end.max(end),
                 SentKind::Revoke => {
-                    // A renewal that is still under way would arrive after the
-                    // revocation and give the shard back to the endpoint while
-                    // the next owner has it too. The revocation then proves
-                    // nothing, and the latest end has to be waited for.
+                    // An unanswered renewal could arrive after the revocation
+                    // and give the shard back to the endpoint while the next
+                    // owner holds it too. The revocation then proves nothing,
+                    // and the shard is released only after its latest end.
                     let renewed = self.sent.may_arrive(at, now, bounds.skew_ms);
                     if held.phase == Phase::Revoking && bounds.checks_orders && !renewed {
                         held.phase = Phase::Released;
@@ -246,14 +247,15 @@
         released
     }
 
-    /// The endpoint refused a grant or revocation as coming from the past: it
-    /// was not taken in, and never will be.
+    /// Handles a grant or revocation that the endpoint refused because of a stale
+    /// epoch: it has no effect, now or later.
     pub fn refused(&mut self, ticket: Ticket) {
         self.sent.take(ticket);
     }
 
-    /// Lets time pass. `busy` tells whether an order for some keys may be running.
-    /// Returns whether a shard is released by that.
+    /// Advances stopping and revoking shards whose orders or grants have ended.
+    /// `busy` says whether an order for a key range may be running. Returns
+    /// whether a shard was released.
     pub fn pass_time(
         &mut self,
         now: Wall,
@@ -275,8 +277,8 @@
         released
     }
 
-    /// When nothing that was granted can act any more, whatever the endpoint
-    /// has received. Orders are counted apart.
+    /// Time from which no grant can be live, whatever the endpoint has received.
+    /// Orders in flight are not considered.
     #[must_use]
     pub fn quiet_at(&self, bounds: Bounds) -> Wall {
         if !bounds.checks_orders || self.latest_end == Wall(0) {
@@ -286,8 +288,9 @@
         own.max(bounds.inherited_until)
     }
 
-    /// Bars every shard under its present epoch. One with orders that may still
-    /// act is only stopped; it is released when they are over.
+    /// Releases every shard under its present epoch, save those that are busy: a
+    /// shard with orders that may still act is stopped, and released when they
+    /// have ended.
     pub fn release_idle(&mut self, busy: impl Fn(&KeyRange) -> bool) {
         for held in self.shards.values_mut() {
             held.phase = match held.phase {
@@ -299,13 +302,14 @@
         }
     }
 
-    /// Released shards that the assignment still shows on their way out, and
-    /// those that it leaves here once the endpoint is `back`.
+    /// Released shards to report to the planner: those that are moving, and all
+    /// of them once the endpoint is `back`. `floor` is the dispatcher's own.
     ///
     /// Failure guarded against: the endpoint is lost for so long that its shards
-    /// are released, and is back before the planner has moved them, since nobody
-    /// else takes shards or the report was lost. They stay barred and nobody serves them. So they are
-    /// reported as well, and the planner gives them a new epoch.
+    /// are released, and comes back before the planner has moved them, since no
+    /// other endpoint takes shards or the report was lost. The shards are never
+    /// granted again under their epoch, so nobody serves them. They are reported
+    /// as well, and the planner gives them a new epoch.
     #[must_use]
     pub fn released(&self, back: bool, floor: Wall) -> Vec<ReleasedShard> {
         let mut shards = Vec::new();
@@ -361,11 +365,12 @@
 }
 
 impl HeldShard {
-    /// Ids created before this may have run here; `floor` is the dispatcher's own.
+    /// Floor for the next owner: ids created before it may have run here.
+    /// `floor` is the dispatcher's own.
     ///
-    /// No id is sent before its own time of creation, so all that was sent lies
-    /// at or below the time of the last order. A later floor would answer `may
-    /// have run` to requests that only waited for the move.
+    /// No id is sent before its time of creation, so every id that was sent was
+    /// created at or before the time of the last order. A later floor would answer
+    /// `may have run` to requests that only waited for the move.
     fn floor_for_next(&self, floor: Wall) -> Wall {
         let sent = match self.last_sent {
             Wall(0) => Wall(0),
@@ -374,11 +379,12 @@
         floor.max(self.owned.floor).max(sent)
     }
 
-    /// A shard that is first learnt of on its way out is not served.
+    /// State of a newly assigned shard. A shard that is already moving is not
+    /// served.
     ///
-    /// Failure guarded against: an earlier dispatcher has reported it released
-    /// and was lost. The report is on its way to the planner, which gives the
-    /// shard to its next owner; served here as well, its keys have two.
+    /// Failure guarded against: an earlier dispatcher has reported the shard
+    /// released and was lost. When the report reaches the planner, the shard gets
+    /// its next owner; if it were served here as well, its keys would have two.
     fn new(owned: OwnedShard, latest_end: Wall) -> Self {
         let phase = if owned.moving {
             Phase::Stopping
@@ -395,9 +401,10 @@
         }
     }
 
-    /// When the shard can be released without the endpoint's word. An endpoint
-    /// that does not check is protected only by silence: its own orders are
-    /// over by now, an earlier dispatcher's must be waited out.
+    /// Time from which the shard can be released without the endpoint's
+    /// confirmation. The end of a grant does not bind an endpoint that does not
+    /// check orders: this dispatcher's orders have ended by now, and those of an
+    /// earlier dispatcher must be waited out.
     fn quiet_at(&self, bounds: Bounds) -> Wall {
         if !bounds.checks_orders {
             return bounds.inherited_until;
--- a/crates/citronway-core/src/dispatch/health.rs
+++ b/crates/citronway-core/src/dispatch/health.rs
@@ -1,4 +1,4 @@
-//! What the endpoint's answers to probes say about it.
+//! Health of an endpoint from its answers to probes.
 
 use super::settings::DispatchSettings;
 use crate::node::events::{ProbeReport, Ticket};
@@ -7,11 +7,11 @@
 /// Whether the endpoint can be reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
-    /// Its last probe was answered.
+    /// The last probe was answered.
     Healthy,
-    /// Probes have failed, not for long.
+    /// Probes have failed, but not yet for the configured time.
     Suspect,
-    /// Probes have failed in a row for the configured time.
+    /// Consecutive probes have failed for the configured time.
     Unreachable,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl Health {
-    /// Nothing is known yet; the endpoint gets the benefit of the doubt.
+    /// Creates the state before the first probe: the endpoint counts as healthy.
     #[must_use]
     pub const fn new(now: Mono) -> Self {
         Self {
@@ -44,48 +44,49 @@
         }
     }
 
-    /// Whether it can be reached.
+    /// Whether the endpoint can be reached.
     #[must_use]
     pub const fn reach(&self) -> Reach {
         self.reach
     }
 
-    /// Whether it is leaving, by its own word.
+    /// Whether the endpoint has reported that it is draining.
     #[must_use]
     pub const fn draining(&self) -> bool {
         self.draining
     }
 
-    /// Whether it knows a higher epoch than this dispatcher's.
+    /// Whether the endpoint knows a higher epoch than this dispatcher's.
     #[must_use]
     pub const fn stale(&self) -> bool {
         self.stale
     }
 
-    /// Whether it says that it has just started.
+    /// Whether the endpoint reports that it has just started.
     #[must_use]
     pub const fn cold(&self) -> bool {
         self.cold
     }
 
-    /// Whether its last probe failed.
+    /// Whether the last probe failed.
     #[must_use]
     pub const fn has_failed_probe(&self) -> bool {
         self.fails > 0
     }
 
-    /// Orders that it says are running, `None` before the first report.
+    /// Number of running orders that the endpoint reports; `None` before the
+    /// first report.
     #[must_use]
     pub const fn reported_running(&self) -> Option<u32> {
         self.reported_running
     }
 
-    /// An order was refused because the endpoint is leaving.
+    /// Records that an order was refused because the endpoint is draining.
     pub const fn on_draining_refusal(&mut self) {
         self.draining = true;
     }
 
-    /// Takes in the outcome of a probe.
+    /// Records the outcome of a probe.
     pub const fn on_probe_done(
         &mut self,
         ticket: Ticket,
@@ -104,8 +105,9 @@
                 self.fails = 0;
                 self.reach = Reach::Healthy;
                 self.answered = now;
-                // Reports that overtake each other: an older one, from before
-                // the endpoint began to drain, would send it new work again.
+                // Reports can arrive out of order. An older one, from before
+                // the endpoint began to drain, must not end the drain.
+                
                 if ticket < self.newest {
                     return;
                 }
--- a/crates/citronway-core/src/dispatch/limit.rs
+++ b/crates/citronway-core/src/dispatch/limit.rs
@@ -1,42 +1,44 @@
-//! How many slots are used, by what the endpoint does.
+//! Adaptive concurrency limit of an endpoint (additive increase, multiplicative
+//! decrease).
 //!
-//! A shed is the endpoint's own word that it has too much, and halves the limit.
-//! Timeouts, lost orders and answers that take much longer than usual have other
-//! causes too (a short deadline, a broken connection, another mix of requests)
-//! and lower it by an eighth; slow answers alone not below half of the slots.
-//! Usual answers let it grow again, one slot for each round of answers, or one
-//! for each answer while a cold endpoint warms up. What the endpoint reports
-//! about itself never raises it.
+//! A shed means that the endpoint is overloaded, and halves the limit. Timeouts,
+//! lost orders and answers that take much longer than usual have other causes too
+//! (a short deadline, a broken connection, another mix of requests) and lower the
+//! limit by an eighth; slow answers alone do not lower it below half of the slots.
+//! Answers in the usual time raise it again: by one slot for each round of
+//! answers, or by one for each answer while a cold endpoint warms up. The
+//! endpoint's own load report never raises it.
 
 use crate::time::Mono;
 
-/// Parts of a slot that the limit is counted in.
+/// Units that make up one slot; the limit is counted in units.
 const SLOT: u64 = 1_000;
 
-/// A sign that may have other causes lowers the limit by one part in this many.
+/// Divisor of the decrease after a signal that may have causes other than
+/// overload.
 const GENTLE: u64 = 8;
 
-/// How the limit grows.
+/// Growth of the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Growth {
-    /// A slot for each answer.
+    /// One slot for each answer.
     SlowStart,
-    /// A slot for each round of answers.
+    /// One slot for each round of answers.
     Additive,
 }
 
-/// Limit on the slots in use.
+/// Limit on the number of slots in use.
 #[derive(Debug)]
 pub struct ConcurrencyLimit {
     slots: u32,
-    /// In parts of a slot; from one slot to all.
+    /// Current limit in units, from one slot to all slots.
     current: u64,
     growth: Growth,
     lowered: Option<Mono>,
 }
 
 impl ConcurrencyLimit {
-    /// All slots.
+    /// Creates a limit that allows all slots.
     #[must_use]
     pub fn new(slots: u32) -> Self {
         Self {
@@ -47,19 +49,19 @@
         }
     }
 
-    /// Slots that may be used now.
+    /// Number of slots that may be used now.
     #[must_use]
     pub fn slots(&self) -> u32 {
         u32::try_from(self.current / SLOT).unwrap_or(u32::MAX)
     }
 
-    /// All slots of the endpoint, at least one.
+    /// Number of all slots of the endpoint, at least one.
     #[must_use]
     pub const fn max_slots(&self) -> u32 {
         self.slots
     }
 
-    /// The endpoint's slots as configured have changed.
+    /// Sets the configured number of slots of the endpoint.
     pub fn set_slots(&mut self, slots: u32) {
         let slots = slots.max(1);
         let grown = slots.saturating_sub(self.slots);
@@ -68,13 +70,14 @@
         self.current = (self.current + u64::from(grown) * SLOT).min(most);
     }
 
-    /// The endpoint has just started, or has come back: begin with one slot.
+    /// Restarts with one slot, for an endpoint that has just started or is
+    /// reachable again.
     pub fn on_cold_start(&mut self) {
         self.current = SLOT;
         self.growth = Growth::SlowStart;
     }
 
-    /// An order was answered in about the usual time.
+    /// Raises the limit after an answer in about the usual time.
     pub fn on_answered(&mut self) {
         let step = match self.growth {
             Growth::SlowStart => SLOT,
@@ -87,17 +90,21 @@
         }
     }
 
-    /// An order was shed. `round_ms` is the mean service time, in milliseconds.
+    /// Halves the limit after a shed order. `round_ms` is the mean service time,
+    /// in milliseconds.
     pub fn on_shed(&mut self, round_ms: u64, now: Mono) {
         self.lower(self.current / 2, round_ms, now);
     }
 
-    /// An order timed out or was lost.
+    /// Lowers the limit by an eighth after an order that timed out or was lost.
+    /// `round_ms` is the mean service time, in milliseconds.
     pub fn on_unanswered(&mut self, round_ms: u64, now: Mono) {
         self.lower(self.current - self.current / GENTLE, round_ms, now);
     }
 
-    /// An order was answered, but orders take much longer than usual.
+    /// Lowers the limit by an eighth, but not below half of the slots, after an
+    /// answer while orders take much longer than usual. `round_ms` is the mean
+    /// service time, in milliseconds.
     pub fn on_slow_answer(&mut self, round_ms: u64, now: Mono) {
         let half = (u64::from(self.slots) * SLOT / 2).max(SLOT);
         if self.current <= half {
@@ -107,8 +114,8 @@
         self.lower(lower.max(half), round_ms, now);
     }
 
-    /// Lowers at most once for each round: the failures of one round were all
-    /// caused under the same limit and tell only once that it was too high.
+    /// Lowers the limit at most once in each round: the failures of one round all
+    /// happened under the same limit and are one signal that it was too high.
     fn lower(&mut self, to: u64, round_ms: u64, now: Mono) {
         self.growth = Growth::Additive;
         if let Some(last) = self.lowered
--- a/crates/citronway-core/src/dispatch/machine.rs
+++ b/crates/citronway-core/src/dispatch/machine.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: its state, and how an event goes through it.
+//! State machine of a dispatcher: its state and the handling of an event.
 
 use indexmap::IndexMap;
 
@@ -20,7 +20,7 @@
 use crate::outcome::{NotRun, NotRunReason, Outcome};
 use crate::time::{Mono, Now, Wall};
 
-/// Keys that are counted for reports.
+/// Number of keys counted for load reports.
 const HOT_KEYS: usize = 64;
 
 /// The dispatcher of one endpoint.
@@ -32,7 +32,7 @@
     pub(super) epoch: Epoch,
     pub(super) session: Session,
     pub(super) started: Now,
-    /// A predecessor may have left orders or grants at the endpoint.
+    /// Whether a predecessor may have left orders or grants at the endpoint.
     pub(super) inherited: bool,
     pub(super) queue: Queue,
     pub(super) slots: Slots,
@@ -44,31 +44,30 @@
     pub(super) health: Health,
     pub(super) hot_keys: HotKeys<KeyRef>,
     pub(super) sent_by_shard: IndexMap<ShardRef, u64>,
-    /// Orders of a predecessor that run at the endpoint, at most.
+    /// Upper bound on the predecessor's orders that run at the endpoint.
     pub(super) predecessor_orders: u32,
     pub(super) next_ticket: Ticket,
     pub(super) next_renewal: Mono,
     pub(super) next_report: Mono,
-    /// When the role was last held.
+    /// Last time at which this instance held the dispatcher's role.
     pub(super) role_last_held: Mono,
-    /// The role was given up, for this reason.
+    /// Why the role was given up; `None` while it is not.
     pub(super) retired: Option<NotRunReason>,
-    /// The endpoint is lost and nothing can act there any more.
+    /// Whether the endpoint is lost and no grant of it is live any more.
     pub(super) quiet: bool,
-    /// Orders that the endpoint has to be asked to cancel.
+    /// Orders for which a cancellation is still to be sent.
     pub(super) cancels: Vec<RequestId>,
     pub(super) out: Vec<DispatchAction>,
 }
 
 impl Dispatcher {
-    /// Begins to build the dispatcher of an endpoint.
+    /// Returns a builder for the dispatcher of an endpoint.
     #[must_use]
     pub fn builder(name: &EndpointName, endpoint: &Endpoint) -> DispatcherBuilder {
         DispatcherBuilder::new(name, endpoint)
     }
 
-    /// Starts a dispatcher that knows nothing of the endpoint's past but what
-    /// `spec` says.
+    /// Starts a dispatcher whose only knowledge of the endpoint's past is `spec`.
     #[must_use]
     pub fn start(spec: DispatcherSpec, now: Now) -> Self {
         let mut duplicates = Duplicates::new(&spec.settings, spec.floor);
@@ -103,10 +102,10 @@
         }
     }
 
-    /// Takes in what has happened and returns what has to be done.
+    /// Processes an event and returns the actions to carry out.
     ///
-    /// What has happened counts before the time it happened at: an answer that
-    /// comes in the moment of the deadline is an answer.
+    /// The event is applied before deadlines are checked: an answer that arrives
+    /// exactly at the deadline counts as an answer.
     #[must_use]
     pub fn apply(&mut self, event: DispatchEvent, turn: Turn) -> Vec<DispatchAction> {
         match event {
@@ -122,7 +121,8 @@
                 self.on_grant_done(ticket, &report, turn);
             }
             DispatchEvent::SetShards { shards } => {
-                // What the planner now waits for is reported at once.
+                // The planner may wait for the release of these shards, so
+                // the next report is due at once.
                 self.next_report = turn.now.mono;
                 self.on_shards(&shards);
             }
@@ -148,16 +148,17 @@
         }
     }
 
-    /// Sends the waiting requests for these keys back: their entries look again
-    /// where the keys are now.
+    /// Answers the queued requests for these keys as not run: the instances that
+    /// accepted them look up the keys' present owner.
     pub(super) fn give_up_range(&mut self, part: &KeyRange) {
         for waiting in self.queue.drain_range(part) {
             self.give_up(&waiting, NotRunReason::Moving);
         }
     }
 
-    /// Requests for a hot key that came before it had its own shard would be
-    /// sent under the shard around it, whatever becomes of its own.
+    /// Answers queued requests for a hot key that arrived before the key had a
+    /// shard of its own. They would be sent under the surrounding shard, even
+    /// after the hot shard has moved to another endpoint.
     fn give_up_under_old_shard(&mut self, hot: &OwnedShard) {
         if self.queue.has_under_other_shard(&hot.key_range(), &hot.at) {
             self.give_up_range(&hot.key_range());
@@ -177,7 +178,7 @@
         self.give_up_all(reason);
     }
 
-    /// Everything that happens by itself as time passes, held or not: a final
+    /// Handles deadlines and expiry, whether or not the role is held: a final
     /// answer never waits for the hold.
     fn pass_time(&mut self, turn: Turn) {
         if turn.may_act {
@@ -191,8 +192,8 @@
         }
     }
 
-    /// Everything that takes the role: messages to the endpoint, and reports
-    /// that others rely on.
+    /// Does what requires the role: messages to the endpoint, and reports that
+    /// others rely on.
     fn act(&mut self, turn: Turn) {
         self.release_shards(turn);
         self.send_cancels();
@@ -201,7 +202,7 @@
         self.report(turn);
     }
 
-    /// Whether the endpoint leaves, by its own word or the operator's.
+    /// Whether the endpoint is draining, by its own report or by configuration.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.endpoint.drain || self.health.draining()
@@ -239,7 +240,8 @@
     }
 }
 
-/// An order takes a connection, so there are never more slots than those.
+/// Slots that can be used: each order takes a connection, so there are never
+/// more slots than connections.
 fn usable_slots(endpoint: &Endpoint) -> u32 {
     endpoint.slots.min(endpoint.connections)
 }
--- a/crates/citronway-core/src/dispatch/message.rs
+++ b/crates/citronway-core/src/dispatch/message.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is told and what it answers.
+//! Events and actions of a dispatcher.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -11,25 +11,25 @@
 use crate::shard::{HashRange, KeyHash};
 use crate::time::{Now, Wall};
 
-/// The moment of a decision.
+/// Time of an event, and whether the dispatcher may act on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turn {
-    /// The present time.
+    /// Time of the event.
     pub now: Now,
-    /// Whether the instance holds the dispatcher's role at this moment.
+    /// Whether the instance holds the dispatcher's role at this time.
     pub may_act: bool,
 }
 
-/// A shard among all services.
+/// Reference to a shard of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ShardRef {
-    /// Its service.
+    /// The service.
     pub service: ServiceName,
-    /// Its number.
+    /// Number of the shard.
     pub shard: ShardId,
 }
 
-/// A shard under one of its epochs.
+/// A shard and one of its epochs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ShardEpoch {
     /// The shard.
@@ -38,16 +38,16 @@
     pub epoch: Epoch,
 }
 
-/// A key among all services.
+/// Reference to a key of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyRef {
-    /// Its service.
+    /// The service.
     pub service: ServiceName,
     /// The key.
     pub key: Key,
 }
 
-/// Keys of a service that hash into a range.
+/// Keys of a service whose hashes lie in a range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyRange {
     /// The service.
@@ -57,7 +57,7 @@
 }
 
 impl KeyRange {
-    /// Whether the key is one of them.
+    /// Whether the key lies in the range.
     #[must_use]
     pub fn has(&self, key: &KeyRef) -> bool {
         let hash = KeyHash::of(&key.key);
@@ -68,10 +68,10 @@
 impl OwnedShard {
     /// Keys that may belong to the shard.
     ///
-    /// Failure guarded against: a hot key gets a shard of its own while its work
-    /// is queued or in flight under the shard of the range around it. Told by
-    /// shard numbers, the hot shard would look idle, move, and the key would be
-    /// worked on by two endpoints. So work is told by the place of its key.
+    /// Failure guarded against: a hot key gets a shard of its own while its
+    /// requests are queued or in flight under the surrounding shard. If they were
+    /// matched by shard number, the hot shard would look idle and move, and two
+    /// endpoints would work on the key. So requests are matched by key hash.
     #[must_use]
     pub fn key_range(&self) -> KeyRange {
         KeyRange {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether the two may have keys in common.
+    /// Whether the two shards may have keys in common.
     #[must_use]
     pub fn overlaps(&self, other: &Self) -> bool {
         self.at.service == other.at.service
@@ -88,174 +88,176 @@
             && other.range.first <= self.range.last
     }
 
-    /// Whether it is the shard of a single hot key.
+    /// Whether this is the shard of a single hot key.
     #[must_use]
     pub fn is_hot(&self) -> bool {
         self.range.first == self.range.last
     }
 }
 
-/// A shard that the assignment gives to the endpoint.
+/// A shard that is assigned to the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnedShard {
     /// The shard.
     pub at: ShardRef,
-    /// Its epoch.
+    /// Epoch of the assignment.
     pub epoch: Epoch,
-    /// Its part of the key space.
+    /// Key hashes of the shard.
     pub range: HashRange,
-    /// Ids created before this may have run under an earlier owner.
+    /// Request ids created before this may have run under an earlier owner.
     pub floor: Wall,
-    /// It is on its way to another owner: finish and release it.
+    /// The shard is moving to another owner: drain and release it.
     pub moving: bool,
 }
 
-/// Something that happened to a dispatcher.
+/// Input of a dispatcher.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum DispatchEvent {
-    /// A request came in.
+    /// A request was submitted.
     Submit {
-        /// Whom to reply to.
+        /// Ticket of the submission, for the reply.
         origin: Ticket,
-        /// Shard of its key.
+        /// Shard of the key.
         shard: ShardId,
         /// The request.
         request: Request,
     },
     /// The caller of a request has gone.
     Cancel {
-        /// Whom it would have been replied to.
+        /// Ticket of the submission.
         origin: Ticket,
     },
     /// Outcome of [`DispatchAction::SendOrder`].
     OrderDone {
         /// Ticket of the order.
         ticket: Ticket,
-        /// What came back.
+        /// Outcome of the order.
         reply: OrderReply,
     },
     /// Outcome of [`DispatchAction::Cancel`].
     CancelDone {
         /// The request.
         id: RequestId,
-        /// The endpoint's word that it does not run and never will.
+        /// Whether the endpoint confirmed that the order does not run and never
+        /// will.
         confirmed: bool,
     },
     /// Outcome of [`DispatchAction::Grant`] or [`DispatchAction::Revoke`].
     GrantDone {
         /// Ticket of the message.
         ticket: Ticket,
-        /// What came back.
+        /// Outcome of the message.
         report: ProbeReport,
     },
-    /// The shards of the endpoint, all of them.
+    /// The assignment changed; these are all shards of the endpoint.
     SetShards {
         /// The shards.
         shards: Vec<OwnedShard>,
     },
-    /// The endpoint's configuration.
+    /// The endpoint's configuration changed.
     SetEndpoint {
-        /// The configuration.
+        /// The new configuration.
         endpoint: Box<Endpoint>,
     },
-    /// The role is given up; nothing is sent any more.
+    /// The role is given up; nothing is sent from now on.
     Retire {
-        /// Reason for the requests that wait.
+        /// Reason that queued requests are refused with.
         reason: NotRunReason,
     },
     /// Time has passed.
     Tick,
 }
 
-/// Something that has to be done for a dispatcher.
+/// Output of a dispatcher: an action for its host to carry out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "snake_case")]
 pub enum DispatchAction {
-    /// Give the final outcome to whoever asked.
+    /// Send the final outcome of a request to its caller.
     Reply {
-        /// Whom to reply to.
+    /// Ticket of the submission.
         origin: Ticket,
         /// The outcome.
         outcome: Outcome,
     },
-    /// Tell whoever asked, finally, that the request cannot be taken as it is.
+    /// Answer the caller, finally, that the request is invalid.
     Reject {
-        /// Whom to reply to.
-        origin: Ticket,
-        /// What is wrong with it.
+    /// Ticket of the submission.
+    origin: Ticket,
+    /// Fault of the request.
         fault: RequestFault,
     },
     /// Send an order to the endpoint.
     SendOrder {
         /// Ticket for [`DispatchEvent::OrderDone`].
         ticket: Ticket,
-        /// What fences the order.
+        /// Fencing token of the order.
         fence: Fence,
-        /// The request; its deadline is the order's.
+        /// The request, with the deadline of the order.
         request: Request,
     },
-    /// Ask the endpoint not to run an order, or to stop it.
+    /// Ask the endpoint to cancel an order.
     Cancel {
         /// The request.
         id: RequestId,
     },
-    /// Grant shards to the endpoint, or probe it if there are none.
+    /// Grant shards to the endpoint; without shards, only probe it.
     Grant {
         /// Ticket for [`DispatchEvent::GrantDone`].
         ticket: Ticket,
         /// The grant.
         grant: Grant,
     },
-    /// Take shards back from the endpoint.
+    /// Revoke shards from the endpoint.
     Revoke {
         /// Ticket for [`DispatchEvent::GrantDone`].
         ticket: Ticket,
-        /// The shards; `end` has no meaning.
+        /// The shards; `end` is unused.
         grant: Grant,
     },
-    /// The endpoint holds nothing of the shard any more; repeated until the
+    /// Report that the endpoint no longer holds the shard; repeated until the
     /// assignment changes.
     ShardReleased {
         /// The shard.
         at: ShardRef,
         /// Epoch under which it was held.
         epoch: Epoch,
-        /// Ids created before this may have run here.
+        /// Request ids created before this may have run here.
         floor: Wall,
     },
-    /// The endpoint does not answer; repeated while that lasts.
+    /// Report that the endpoint does not answer; repeated while it does not.
     EndpointLost {
-        /// No grant of it is live any more; its shards are released one by one,
-        /// as soon as no order for their keys can act.
+        /// Whether no grant of the endpoint is live any more. Its shards are then
+        /// released one by one, as soon as no order for their keys can act.
         quiet: bool,
     },
-    /// The endpoint answers again.
+    /// Report that the endpoint answers again.
     EndpointBack,
-    /// The endpoint knows a higher epoch: the rows known here are old.
+    /// Report that the endpoint knows a higher epoch: this instance's rows are
+    /// stale.
     Superseded,
 }
 
-/// What makes a request impossible to take. None of it was run.
+/// Fault of an invalid request. The request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub enum RequestFault {
-    /// The id was used before for another service, key or content.
+    /// The id was used before for a request with another service, key or content.
     #[error("the id was used before for other work")]
     IdReused,
-    /// The id does not hold its time of creation.
+    /// The id does not contain its time of creation.
     #[error("the id is not a UUID of version 7")]
     IdWithoutTime,
     /// The id was created in the future.
     #[error("the id was created {ahead_ms} ms in the future")]
     IdAhead {
-        /// How far beyond the bound, in milliseconds.
+        /// Time beyond the allowed bound, in milliseconds.
         ahead_ms: u64,
     },
 }
 
 impl RequestFault {
-    /// The outcome for callers that are told no more than an outcome.
+    /// The fault as an outcome, for callers that only receive outcomes.
     #[must_use]
     pub const fn outcome(self) -> Outcome {
         let retry_after_ms = match self {
--- a/crates/citronway-core/src/dispatch/mod.rs
+++ b/crates/citronway-core/src/dispatch/mod.rs
@@ -1,19 +1,19 @@
-//! Dispatcher of one endpoint: the only sender of its orders and grants.
+//! Dispatcher of one endpoint: the only sender of orders and grants to it.
 //!
-//! [`Dispatcher`] takes [`DispatchEvent`]s with the moment they happen at and
-//! returns [`DispatchAction`]s. Every request that is submitted gets exactly one
-//! [`DispatchAction::Reply`] or [`DispatchAction::Reject`].
+//! [`Dispatcher`] is a state machine: it takes [`DispatchEvent`]s with their
+//! time and returns [`DispatchAction`]s. Every submitted request gets exactly
+//! one [`DispatchAction::Reply`] or [`DispatchAction::Reject`].
 //!
-//! | module | job |
+//! | module | content |
 //! |---|---|
-//! | `machine` | the dispatcher itself; `arriving`, `settling`, `sending`, `granting`, `reporting` are its duties |
-//! | `queue`, `share`, `pace` | what waits, in which order it goes |
-//! | `admission` | what is refused on arrival |
-//! | `slots`, `limit`, `service` | what may run at once, and for how long |
-//! | `duplicates`, `answers`, `fingerprint`, `waiters` | at most once |
-//! | `grants`, `sent_grants` | which shards the endpoint holds until when |
-//! | `health` | what probes say |
-//! | `replay` | recorded events against their outcomes |
+//! | `machine` | the dispatcher; `arriving`, `settling`, `sending`, `granting` and `reporting` implement its parts |
+//! | `queue`, `share`, `pace` | priority queue, kept shares of classes, service interval of a class |
+//! | `admission` | admission control on arrival |
+//! | `slots`, `limit`, `service` | slots in use, adaptive concurrency limit, mean service times |
+//! | `duplicates`, `answers`, `fingerprint`, `waiters` | deduplication of non-idempotent requests |
+//! | `grants`, `sent_grants` | leases of shards to the endpoint |
+//! | `health` | health from probes |
+//! | `replay` | replay of recorded events |
 
 pub mod admission;
 pub mod answers;
--- a/crates/citronway-core/src/dispatch/pace.rs
+++ b/crates/citronway-core/src/dispatch/pace.rs
@@ -1,27 +1,28 @@
-//! How fast a class that has work waiting is served.
+//! Service interval of a class that has queued requests.
 //!
-//! What goes before a request now does not tell how much will overtake it: a
-//! batch request behind two interactive ones may see thousands pass. The pace
-//! at which its class has been served tells.
+//! The work that is queued before a request does not say how much will overtake
+//! it: a batch request behind two interactive ones may be overtaken by thousands.
+//! The interval at which its class has been served accounts for them.
 
 use crate::time::Mono;
 
-/// Weight of the latest time between two requests: one part in this many.
+/// Divisor of the latest interval's weight in the moving average.
 const WEIGHT: u64 = 8;
 
 /// Microseconds in a millisecond.
 const US: u64 = 1_000;
 
-/// Pace of one class.
+/// Mean interval between two requests of one class that leave the queue.
 #[derive(Debug, Default)]
 pub struct ServiceInterval {
-    /// When the class was last served, if it has had work waiting since.
+    /// Time when the class was last served; `None` if its queue was empty then.
     last: Option<Mono>,
     mean_us: Option<u64>,
 }
 
 impl ServiceInterval {
-    /// A request was taken out of the queue; `waiting` tells whether more wait.
+    /// Records that a request left the queue; `waiting` says whether more are
+    /// queued.
     pub fn served(&mut self, now: Mono, waiting: bool) {
         if let Some(last) = self.last {
             let us = now.since(last) * US;
@@ -31,8 +32,8 @@
         self.last = waiting.then_some(now);
     }
 
-    /// Time until `requests` of the class have been served, in milliseconds,
-    /// or 0 if nothing is known.
+    /// Estimated time until `requests` of the class have been served, in
+    /// milliseconds; 0 if the interval is not known.
     #[must_use]
     pub fn wait_ms(&self, requests: u64) -> u64 {
         if self.last.is_none() {
--- a/crates/citronway-core/src/dispatch/queue.rs
+++ b/crates/citronway-core/src/dispatch/queue.rs
@@ -1,8 +1,9 @@
-//! Requests that wait for a slot, by class and deadline.
+//! Priority queue of requests that wait for a slot.
 //!
 //! Classes are served by priority; within a class the earliest deadline goes
 //! first, which is also the order in which requests expire. A class with a kept
-//! share goes before better ones when it has had less than its share.
+//! share goes before classes of higher priority while it has had less slot time
+//! than its share.
 
 use std::collections::BTreeMap;
 
@@ -18,21 +19,21 @@
 use crate::request::Request;
 use crate::time::{Mono, Wall};
 
-/// A request that waits.
+/// A request in the queue.
 #[derive(Debug, Clone)]
 pub struct QueuedRequest {
     /// Whom to reply to.
     pub origin: Ticket,
     /// The request.
     pub request: Request,
-    /// Shard of its key.
+    /// Shard of the key.
     pub at: ShardRef,
-    /// It must not be sent before this, see [`super::duplicates`].
+    /// Earliest time to send the request, see [`super::duplicates`].
     pub not_before: Wall,
 }
 
 impl QueuedRequest {
-    /// Its key.
+    /// Key of the request, with its service.
     #[must_use]
     pub fn key(&self) -> KeyRef {
         KeyRef {
@@ -42,7 +43,7 @@
     }
 }
 
-/// Place in a class: by deadline, then by arrival. Unique.
+/// Order within a class: by deadline, then by arrival. Unique.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     deadline: Wall,
@@ -55,7 +56,8 @@
     rank: Rank,
 }
 
-/// Requests of one class. Lookups go by rank, which an `IndexMap` does not keep.
+/// Queued requests of one class. They are sorted by rank, an order that an
+/// `IndexMap` does not keep.
 #[derive(Debug)]
 struct ClassQueue {
     class: ClassName,
@@ -68,24 +70,26 @@
 /// The bounded queue of one endpoint.
 #[derive(Debug)]
 pub struct Queue {
-    /// By priority, best first.
+    /// By priority, highest first.
     class_queues: Vec<ClassQueue>,
     places: IndexMap<Ticket, Place>,
     by_key: IndexMap<KeyRef, usize>,
     arrivals: u64,
 }
 
-/// Work that goes before a request that is about to join.
+/// Queued work that goes before a request that has just arrived.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkAhead {
-    /// Requests of better classes, and earlier ones of its own.
+    /// Requests of classes with higher priority, and those of its own class with
+    /// an earlier deadline.
     pub requests: u64,
-    /// Service time of all these, in milliseconds.
+    /// Service time of all these requests, in milliseconds.
     pub total_ms: u64,
-    /// Service time of the earlier ones of its own class, in milliseconds.
+    /// Service time of the requests of its own class among them, in milliseconds.
     pub own_ms: u64,
-    /// Time that the earlier ones of its own class will wait at the present
-    /// pace of the class, in milliseconds.
+    /// Time until its own class has been served this far at the present service
+    /// interval, in milliseconds; 0 for the first class, or if the interval is
+    /// not known.
     pub pace_ms: u64,
     /// Kept share of its class, in hundredths.
     pub kept_share: u8,
@@ -108,25 +112,25 @@
         }
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
 
-    /// Requests of one key that wait.
+    /// Number of queued requests of one key.
     #[must_use]
     pub fn len_of(&self, key: &KeyRef) -> usize {
         self.by_key.get(key).copied().unwrap_or(0)
     }
 
-    /// What goes before a request of this class and deadline.
+    /// Work that goes before a request of this class and deadline.
     #[must_use]
     pub fn ahead_of(&self, class: &ClassName, deadline: Wall, times: &ServiceTimes) -> WorkAhead {
         let mut ahead = WorkAhead::default();
@@ -138,7 +142,8 @@
                 };
                 let own = lane.waiting.range(..rank).count() as u64;
                 ahead.own_ms = own * times.ms(class);
-                // Nothing overtakes the best class; its pace only adds noise.
+                // No class overtakes the first one; its service interval
+                // only adds noise.
                 if index > 0 {
                     ahead.pace_ms = lane.pace.wait_ms(own + 1);
                 }
@@ -154,7 +159,7 @@
         ahead
     }
 
-    /// Service time of all that waits, in milliseconds.
+    /// Service time of all queued requests, in milliseconds.
     #[must_use]
     pub fn work_ms(&self, times: &ServiceTimes) -> u64 {
         let mut work_ms = 0;
@@ -164,7 +169,7 @@
         work_ms
     }
 
-    /// Adds a request. The bounds have been checked before.
+    /// Adds a request. The caller has checked the limits of the queue.
     pub fn push(&mut self, waiting: QueuedRequest) {
         let index = self.lane_of(&waiting.request.class);
         if index == self.class_queues.len() {
@@ -182,7 +187,7 @@
         self.class_queues[index].waiting.insert(rank, waiting);
     }
 
-    /// Id of the request of an origin.
+    /// Id of the queued request of an origin; `None` if there is none.
     #[must_use]
     pub fn id_of(&self, origin: Ticket) -> Option<RequestId> {
         let place = self.places.get(&origin)?;
@@ -190,7 +195,7 @@
         Some(waiting.request.id)
     }
 
-    /// Whether a request waits under this id.
+    /// Whether a request with this id is queued.
     #[must_use]
     pub fn contains(&self, id: RequestId) -> bool {
         let mut lanes = self.class_queues.iter();
@@ -201,13 +206,13 @@
         })
     }
 
-    /// Takes out the request of an origin.
+    /// Removes and returns the request of an origin; `None` if there is none.
     pub fn remove(&mut self, origin: Ticket) -> Option<QueuedRequest> {
         let place = self.places.get(&origin).copied()?;
         self.take(place)
     }
 
-    /// Takes out every request whose deadline has come.
+    /// Removes and returns every request whose deadline has come.
     pub fn expire(&mut self, now: Wall) -> Vec<QueuedRequest> {
         let mut expired = Vec::new();
         for index in 0..self.class_queues.len() {
@@ -221,7 +226,7 @@
         expired
     }
 
-    /// Takes out everything.
+    /// Empties the queue and returns its requests.
     pub fn drain(&mut self) -> Vec<QueuedRequest> {
         let mut all = Vec::with_capacity(self.places.len());
         for lane in &mut self.class_queues {
@@ -232,7 +237,7 @@
         all
     }
 
-    /// Takes out the requests of one shard.
+    /// Removes and returns the requests for keys of a range.
     pub fn drain_range(&mut self, part: &KeyRange) -> Vec<QueuedRequest> {
         let mut places = Vec::new();
         for (index, lane) in self.class_queues.iter().enumerate() {
@@ -245,7 +250,8 @@
         places.into_iter().filter_map(|p| self.take(p)).collect()
     }
 
-    /// Whether a request for one of the keys waits under another shard.
+    /// Whether a request for a key of the range is queued under another shard
+    /// than `at`.
     #[must_use]
     pub fn has_under_other_shard(&self, part: &KeyRange, at: &ShardRef) -> bool {
         let mut lanes = self.class_queues.iter();
@@ -255,8 +261,8 @@
         })
     }
 
-    /// Lets time pass for the kept shares. `running` tells the orders of a
-    /// class that hold a slot, `limit` the slots in use at most.
+    /// Updates the kept shares. `running` returns the number of slots that a
+    /// class uses, `limit` is the number of slots that may be used.
     pub fn pass_time(&mut self, now: Mono, limit: u32, running: impl Fn(&ClassName) -> u32) {
         for lane in &mut self.class_queues {
             let held = running(&lane.class);
@@ -265,7 +271,8 @@
         }
     }
 
-    /// Takes out the next request that is fit to be sent.
+    /// Removes and returns the next request that is `fit` to be sent; `None` if
+    /// there is none.
     pub fn pop_fit(
         &mut self,
         now: Mono,
@@ -278,7 +285,8 @@
         Some(waiting)
     }
 
-    /// The neediest class below its share, else the best class.
+    /// Position of the next fit request: that of the class with the largest
+    /// deficit in its kept share, else that of the class with the highest priority.
     fn next_place(&self, fit: &impl Fn(&QueuedRequest) -> bool) -> Option<Place> {
         let mut best: Option<Place> = None;
         let mut neediest = 0;
@@ -328,7 +336,9 @@
         }
     }
 
-    /// A class that this instance's configuration does not have yet goes last.
+    /// Queue of a class that this instance's configuration does not have yet.
+    /// It has the lowest priority.
+    
     fn unknown(class: ClassName) -> Self {
         Self {
             class,
--- a/crates/citronway-core/src/dispatch/replay.rs
+++ b/crates/citronway-core/src/dispatch/replay.rs
@@ -1,6 +1,6 @@
-//! Recorded events of a dispatcher, run again.
+//! Replay of the recorded events of a dispatcher.
 //!
-//! A trace is JSON lines: a [`TraceHead`], then a [`TraceStep`] for each event.
+//! A trace is in JSON lines: a [`TraceHead`], then a [`TraceStep`] for each event.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,98 +17,98 @@
 /// First line of a trace.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TraceHead {
-    /// What the dispatcher started from.
+    /// Initial state of the dispatcher.
     pub start: DispatcherSpec,
-    /// When it started.
+    /// Start time.
     pub now: Now,
 }
 
-/// Any further line of a trace.
+/// Line of a trace after the first.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TraceStep {
-    /// The moment.
+    /// Time of the event.
     pub turn: Turn,
-    /// What happened.
+    /// The event.
     #[serde(flatten)]
     pub event: DispatchEvent,
 }
 
-/// What the dispatcher decided, without the contents of requests.
+/// Decision of the dispatcher, without the content of requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "decision", rename_all = "snake_case")]
 pub enum Decision {
     /// A final outcome.
     Reply {
-        /// Whom it was given to.
+    /// Ticket of the submission.
         origin: Ticket,
         /// The outcome.
         outcome: Outcome,
     },
-    /// A final refusal.
+    /// A final refusal of an invalid request.
     Reject {
-        /// Whom it was given to.
-        origin: Ticket,
-        /// Why.
+    /// Ticket of the submission.
+    origin: Ticket,
+    /// Fault of the request.
         fault: RequestFault,
     },
     /// An order.
     Order {
-        /// Its ticket.
-        ticket: Ticket,
-        /// Its request.
-        id: RequestId,
-        /// Its deadline.
+    /// Ticket of the order.
+    ticket: Ticket,
+    /// Id of the request.
+    id: RequestId,
+    /// Deadline of the order.
         deadline: Wall,
     },
     /// A cancellation.
     Cancel {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
     },
     /// A grant, a renewal, or a probe if there are no shards.
     Grant {
-        /// Its ticket.
+        /// Ticket of the message.
         ticket: Ticket,
-        /// Its end.
+        /// End of the grant.
         end: Wall,
-        /// Its shards.
+        /// Granted shards.
         shards: Vec<ShardEpoch>,
     },
     /// A revocation.
     Revoke {
-        /// Its ticket.
-        ticket: Ticket,
-        /// Its shards.
+    /// Ticket of the message.
+    ticket: Ticket,
+    /// Revoked shards.
         shards: Vec<ShardEpoch>,
     },
     /// A report that a shard is released.
     Released(ShardEpoch),
     /// A report that the endpoint is lost.
     Lost {
-        /// Nothing can act there any more.
+        /// Whether no grant of the endpoint is live any more.
         quiet: bool,
     },
-    /// The endpoint is back.
+    /// A report that the endpoint answers again.
     Back,
-    /// The endpoint knows a higher epoch.
+    /// A report that the endpoint knows a higher epoch.
     Superseded,
 }
 
 /// A decision with its time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decided {
-    /// When, on the wall clock.
+    /// Wall time of the decision.
     pub time: Wall,
-    /// What.
+    /// The decision.
     #[serde(flatten)]
     pub decision: Decision,
 }
 
-/// Runs a recorded trace again.
+/// Replays a trace and returns the decisions of the dispatcher.
 ///
 /// # Errors
 ///
-/// All lines that cannot be read.
+/// Returns all lines that cannot be read.
 pub fn replay(text: &str) -> Result<Vec<Decided>, BadTrace> {
     let Trace { header, records } = read::<TraceHead, TraceStep>(text)?;
     let mut dispatcher = Dispatcher::start(header.start, header.now);
--- a/crates/citronway-core/src/dispatch/reporting.rs
+++ b/crates/citronway-core/src/dispatch/reporting.rs
@@ -1,4 +1,4 @@
-//! Reports to the planner and to operators.
+//! Reports to the planner, and state for operators.
 
 use super::grants::ReleasedShard;
 use super::health::Reach;
@@ -9,17 +9,17 @@
 use crate::shard::KeyHash;
 use crate::time::Wall;
 
-/// Keys named in a load report.
+/// Maximum number of keys in a load report.
 const HOT_KEYS_REPORTED: usize = 8;
 
 impl Dispatcher {
-    /// The endpoint.
+    /// Name of the endpoint.
     #[must_use]
     pub const fn name(&self) -> &EndpointName {
         &self.name
     }
 
-    /// Where the endpoint takes orders, and how many connections it takes.
+    /// Address of the endpoint for orders, and its number of connections.
     #[must_use]
     pub const fn address(&self) -> (std::net::SocketAddr, u32) {
         (self.endpoint.address, self.endpoint.connections)
@@ -31,31 +31,31 @@
         self.health.reach()
     }
 
-    /// Whether it takes no new work because it is leaving.
+    /// Whether the endpoint is draining and takes no new orders.
     #[must_use]
     pub fn draining(&self) -> bool {
         self.is_draining()
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Slots in use, those of unresolved orders included.
+    /// Number of slots in use, including those of unresolved orders.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.slots.used()
     }
 
-    /// Slots that may be used at present.
+    /// Number of slots that may be used now.
     #[must_use]
     pub fn limit(&self) -> u32 {
         self.limit.slots()
     }
 
-    /// Ids created before this are not run unless they are known.
+    /// Request ids created before this are not run unless they are known.
     #[must_use]
     pub const fn floor(&self) -> Wall {
         self.duplicates.floor()
@@ -67,8 +67,8 @@
         self.queue.is_empty() && self.slots.used() == 0
     }
 
-    /// What is known of non-idempotent requests, for a successor. Requests that
-    /// still wait were not sent, so nothing is known of them.
+    /// Known non-idempotent requests, for a successor. Requests that are still
+    /// queued were not sent and are left out.
     #[must_use]
     pub fn export(&self) -> KnownRequests {
         let mut known = self.duplicates.export();
@@ -76,7 +76,7 @@
         known
     }
 
-    /// Load since the last call, for the planner.
+    /// Returns the load since the last call, for the planner, and resets it.
     pub fn take_load(&mut self) -> EndpointLoad {
         let begun = std::mem::take(&mut self.sent_by_shard);
         let mut requests = 0;
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Reports what the planner waits for, again and again, since a report may
-    /// be lost on its way.
+    /// Reports lost endpoints and released shards to the planner. Reports are
+    /// repeated, since one may be lost.
     pub(super) fn report(&mut self, turn: Turn) {
         self.note_quiet(turn);
         if turn.now.mono < self.next_report {
@@ -119,8 +119,8 @@
         self.next_report = turn.now.mono.plus(self.cfg.report_ms);
         let unreachable = self.health.reach() == Reach::Unreachable;
         if unreachable && self.quiet {
-            // Shards that were assigned since the endpoint fell silent are told
-            // free by this report as well, so they must be barred as well.
+            // This report also releases shards that were assigned after the
+            // endpoint stopped answering, so they must not be granted again.
             self.release_idle_shards();
         }
         if unreachable {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Notes when nothing can act at a lost endpoint any more.
+    /// Sets `quiet` once no grant of a lost endpoint is live any more.
     fn note_quiet(&mut self, turn: Turn) {
         if self.quiet || self.health.reach() != Reach::Unreachable {
             return;
@@ -144,15 +144,16 @@
         }
         self.quiet = true;
         self.next_report = turn.now.mono;
-        // From the moment this is reported the planner may give the shards to
-        // other endpoints. Were the endpoint to come back and be granted them
-        // again meanwhile, they would have two owners; so they stay barred
+        // Once this is reported the planner may assign the shards to other
+        // endpoints. If the endpoint came back and were granted them again
+        // meanwhile, they would have two owners. So they are not granted again
         // until the assignment gives them a new epoch.
         self.release_idle_shards();
     }
 
-    /// An endpoint that checks cannot commit what it still runs. One that does
-    /// not check may: shards with such orders are waited for, one by one.
+    /// Releases the shards of a lost endpoint. An endpoint that checks orders
+    /// cannot commit those it still runs. One that does not check can, so a shard
+    /// with orders in flight is released only when they have ended.
     fn release_idle_shards(&mut self) {
         let checks = self.endpoint.checks_orders;
         let slots = &self.slots;
--- a/crates/citronway-core/src/dispatch/sending.rs
+++ b/crates/citronway-core/src/dispatch/sending.rs
@@ -1,4 +1,4 @@
-//! Orders and cancellations on their way to the endpoint.
+//! Sending of orders and cancellations to the endpoint.
 
 use super::health::Reach;
 use super::machine::Dispatcher;
@@ -9,7 +9,8 @@
 use crate::time::{Now, Wall};
 
 impl Dispatcher {
-    /// Sends as much as there are slots for. The role has been checked.
+    /// Sends queued requests while slots are free. The caller has checked that
+    /// the role is held.
     pub(super) fn send_orders(&mut self, turn: Turn) {
         let slots = &self.slots;
         let limit = self.limit.slots();
@@ -39,9 +40,9 @@
 
     /// Whether one more order may be sent.
     ///
-    /// An order whose outcome is missing keeps its slot but is not counted
-    /// against the limit, which it has lowered already: counted twice, one lost
-    /// order would stop an endpoint of two slots until its deadline.
+    /// An unresolved order keeps its slot but does not count against the
+    /// concurrency limit, which it has lowered already. Counted twice, one lost
+    /// order would stop an endpoint of two slots until the order's deadline.
     fn has_slot(&self, now: Wall) -> bool {
         let all = self.limit.max_slots();
         let taken = self
@@ -51,10 +52,10 @@
         taken < all && self.slots.running() < self.limit.slots()
     }
 
-    /// Orders of a predecessor that run in slots which look free from here.
+    /// Number of slots occupied by orders of a predecessor.
     ///
-    /// Until they must be over, the endpoint's own count of them is believed.
-    /// One slot is used all the same, or a wrong count would stop all work.
+    /// The endpoint's own count is used until the longest order has ended. One
+    /// slot is always left usable, or a wrong count would stop all work.
     fn predecessor_orders_running(&self, now: Wall) -> u32 {
         let longest_ms = self.cfg.max_order_ms + self.cfg.skew_ms;
         if now >= self.started.wall.plus(longest_ms) {
@@ -63,13 +64,14 @@
         self.predecessor_orders.min(self.limit.max_slots() - 1)
     }
 
-    /// The next request, with two kinds passed over as long as another waits:
+    /// Takes the next request to send out of the queue. Two kinds are passed
+    /// over while another request can be sent:
     ///
-    /// - one of a key that has its share of the slots, or a hot key would fill
-    ///   them all;
-    /// - one that will most likely miss its deadline. The earliest deadline
-    ///   goes first, so under overload every request would be begun just too
-    ///   late, time out in its slot, and make the next one too late.
+    /// - requests of a key that already has its share of the slots; otherwise a
+    ///   hot key would fill them all;
+    /// - requests that will most likely miss their deadline. The earliest
+    ///   deadline goes first, so under overload every request would be started
+    ///   just too late, time out in its slot, and make the next one too late.
     fn pick(&mut self, now: Now) -> Option<QueuedRequest> {
         let most = self.limit.slots() * u32::from(self.cfg.key_share) / 100;
         let grants = &self.grants;
@@ -107,8 +109,8 @@
         };
         let key = waiting.key();
         let mut request = waiting.request;
-        // A successor waits out the longest order; a longer one would outlive
-        // that wait and act beside the next owner.
+        // A successor waits `max_order_ms` for orders to end. An order with a
+        // later deadline could run at the same time as the next owner's orders.
         let latest = turn.now.wall.plus(self.cfg.max_order_ms);
         request.deadline = request.deadline.min(latest);
         self.hot_keys.add(&key);
--- a/crates/citronway-core/src/dispatch/sent_grants.rs
+++ b/crates/citronway-core/src/dispatch/sent_grants.rs
@@ -1,4 +1,4 @@
-//! Grants and revocations whose answers are missing.
+//! Unanswered grants and revocations.
 
 use indexmap::IndexMap;
 
@@ -6,10 +6,10 @@
 use crate::node::events::{GrantedShard, Ticket};
 use crate::time::Wall;
 
-/// Unanswered messages are forgotten beyond this number, revocations first.
+/// Unanswered revocations that are kept; beyond it the oldest is dropped.
 const MOST_REVOCATIONS: usize = 64;
 
-/// What was sent.
+/// Kind of a sent message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SentKind {
     /// A grant until `end`.
@@ -21,36 +21,37 @@
     Revoke,
 }
 
-/// A message without an answer.
+/// An unanswered message.
 #[derive(Debug, Clone)]
 pub struct Sent {
-    /// What it was.
+    /// Its kind.
     pub kind: SentKind,
     /// Its shards with their epochs.
     pub shards: Vec<ShardEpoch>,
 }
 
-/// Messages without an answer. One that was reported as failed stays: it may
-/// have been written and may yet arrive.
+/// Unanswered messages. A message whose sending failed stays: it may have been
+/// written and may still arrive.
 #[derive(Debug, Default)]
 pub struct SentGrants {
     open: IndexMap<Ticket, Sent>,
 }
 
 impl SentGrants {
-    /// Notes a message.
+    /// Adds a sent message.
     pub fn add(&mut self, ticket: Ticket, kind: SentKind, shards: &[GrantedShard]) {
         let shards = shards.iter().map(shard_epoch).collect();
         self.open.insert(ticket, Sent { kind, shards });
         self.drop_revocations();
     }
 
-    /// Takes out a message whose answer has come.
+    /// Removes and returns an answered message; `None` if it is not known.
     pub fn take(&mut self, ticket: Ticket) -> Option<Sent> {
         self.open.shift_remove(&ticket)
     }
 
-    /// Whether an unanswered grant of the shard could still be taken in.
+    /// Whether an unanswered grant of the shard could still take effect at the
+    /// endpoint.
     #[must_use]
     pub fn may_arrive(&self, at: &ShardRef, now: Wall, skew_ms: u64) -> bool {
         for sent in self.open.values() {
@@ -65,7 +66,7 @@
         false
     }
 
-    /// Forgets grants that have ended.
+    /// Drops grants that have ended.
     pub fn pass_time(&mut self, now: Wall, skew_ms: u64) {
         self.open.retain(|_, sent| match sent.kind {
             SentKind::Grant { end } => end.plus(skew_ms) > now,
@@ -92,7 +93,7 @@
     }
 }
 
-/// Names the shard of a grant, with its epoch.
+/// Returns the shard of a grant with its epoch.
 #[must_use]
 pub fn shard_epoch(shard: &GrantedShard) -> ShardEpoch {
     ShardEpoch {
--- a/crates/citronway-core/src/dispatch/service.rs
+++ b/crates/citronway-core/src/dispatch/service.rs
@@ -1,8 +1,8 @@
-//! How long orders take, by class.
+//! Mean service times of orders by class.
 //!
-//! Classes are kept apart: batch orders that take ten times as long would
-//! otherwise make every interactive deadline look out of reach, and a change in
-//! the mix of classes look like an endpoint that has become slow.
+//! Each class has its own mean. With a common mean, batch orders that take ten
+//! times as long would make every interactive deadline look out of reach, and a
+//! change in the mix of classes would look like a slow endpoint.
 
 use indexmap::IndexMap;
 
@@ -11,16 +11,16 @@
 /// Microseconds in a millisecond.
 const US: u64 = 1_000;
 
-/// Weight of the latest order: one part in this many.
+/// Divisor of the latest order's weight in the short moving average.
 const SHORT: u64 = 8;
 
-/// Weight of the latest order in the long run: one part in this many.
+/// Divisor of the latest order's weight in the long moving average.
 const LONG: u64 = 128;
 
-/// A short mean this many times the long one is slow.
+/// Ratio of the short mean to the long one above which a class is slow.
 const SLOW_RATIO: u64 = 2;
 
-/// Means below this are never slow, in microseconds.
+/// Short mean up to which a class is never slow, in microseconds.
 const SLOW_FLOOR_US: u64 = 10_000;
 
 #[derive(Debug, Clone, Copy)]
@@ -38,7 +38,8 @@
 }
 
 impl ServiceTimes {
-    /// Nothing is known; `first_ms` is gone by until an order was answered.
+    /// Creates an empty state; `first_ms` is the estimate until the first answer,
+    /// in milliseconds.
     #[must_use]
     pub fn new(first_ms: u64) -> Self {
         Self {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Takes in an answered order.
+    /// Records the service time of an answered order, in milliseconds.
     pub fn record(&mut self, class: &ClassName, took_ms: u64) {
         let took_us = took_ms * US;
         let all = self.all.get_or_insert(Means::first(took_us));
@@ -58,7 +59,8 @@
         means.learn(took_us);
     }
 
-    /// Mean time of the latest orders of a class, in milliseconds, at least 1.
+    /// Short-term mean service time of a class, in milliseconds, at least 1.
+    /// Without an answer of the class it is the mean of all classes.
     #[must_use]
     pub fn ms(&self, class: &ClassName) -> u64 {
         let means = self.by_class.get(class).or(self.all.as_ref());
@@ -66,7 +68,7 @@
         us.div_ceil(US).max(1)
     }
 
-    /// Mean time of the latest orders of all classes, in milliseconds, at least 1.
+    /// Short-term mean service time of all classes, in milliseconds, at least 1.
     #[must_use]
     pub fn mean_ms(&self) -> u64 {
         let us = self.all.map_or(self.first_us, |means| means.short_us);
--- a/crates/citronway-core/src/dispatch/settings.rs
+++ b/crates/citronway-core/src/dispatch/settings.rs
@@ -1,50 +1,53 @@
-//! Limits and times of a dispatcher.
+//! Settings of a dispatcher.
 
 use serde::{Deserialize, Serialize};
 
-/// Limits and times that one dispatcher works by.
+/// Limits and times of a dispatcher.
 ///
 /// All instances must use the same `max_grant_ms`, `max_order_ms` and
-/// `skew_ms`: a dispatcher that takes over goes by them for what its
-/// predecessor may have left at the endpoint.
+/// `skew_ms`: a dispatcher that takes over uses them to bound how long its
+/// predecessor's grants and orders may be live at the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DispatchSettings {
-    /// Most requests that wait.
+    /// Maximum number of queued requests.
     pub queue_max: usize,
-    /// Most hundredths of queue and slots that one key takes while others wait.
+    /// Maximum share of the queue and of the slots for one key, in hundredths.
+    /// A key may use more slots while no other key's requests can be sent.
     pub key_share: u8,
     /// Length of a grant, in milliseconds.
     pub grant_ms: u64,
-    /// Time between two renewals, in milliseconds.
+    /// Interval of renewals, in milliseconds.
     pub renew_ms: u64,
     /// Longest grant that any dispatcher gives, in milliseconds.
     pub max_grant_ms: u64,
-    /// Longest time to its deadline that any order is sent with, in milliseconds.
+    /// Longest time from sending to deadline of any order, in milliseconds.
     pub max_order_ms: u64,
     /// Bound on the difference of two wall clocks, in milliseconds.
     pub skew_ms: u64,
-    /// Bound on how far in the future an id may have been created, in milliseconds.
+    /// Maximum time that an id may have been created in the future, in milliseconds.
     pub id_ahead_ms: u64,
-    /// Ids are remembered this long after their creation, in milliseconds.
+    /// Time that ids are kept after their creation, in milliseconds.
     pub id_window_ms: u64,
-    /// The window never shrinks below this for lack of room, in milliseconds.
+    /// Lower bound on the window when there are more than `max_ids`, in
+    /// milliseconds.
     pub id_window_min_ms: u64,
-    /// Most ids that are remembered.
+    /// Maximum number of ids that are kept.
     pub max_ids: usize,
-    /// Most bytes of answers that are kept for duplicates.
+    /// Maximum size of the answers kept for duplicates, in bytes.
     pub answer_bytes: usize,
-    /// Most duplicates that wait for the answer of one request.
+    /// Maximum number of duplicates that wait for the answer of one request.
     pub max_waiters: usize,
     /// Time without an answer after which the endpoint is unreachable, in milliseconds.
     pub lost_after_ms: u64,
-    /// Probes that must have failed in a row before the endpoint is unreachable.
+    /// Consecutive failed probes required before the endpoint is unreachable.
     pub lost_after_fails: u32,
-    /// Service time to go by before the first answer, in milliseconds.
+    /// Estimated service time before the first answer, in milliseconds.
     pub first_service_ms: u64,
-    /// How long requests wait for a lapsed hold to come back, in milliseconds.
+    /// Time that queued requests wait for a lapsed hold to be regained, in
+    /// milliseconds.
     pub hold_grace_ms: u64,
-    /// Time between two repetitions of a report to the planner, in milliseconds.
+    /// Interval at which reports to the planner are repeated, in milliseconds.
     pub report_ms: u64,
 }
 
@@ -74,7 +77,7 @@
 }
 
 impl DispatchSettings {
-    /// Length of a grant that every instance allows for, in milliseconds.
+    /// Length of a grant, limited to `max_grant_ms`, in milliseconds.
     #[must_use]
     pub const fn bounded_grant_ms(&self) -> u64 {
         if self.grant_ms < self.max_grant_ms {
@@ -83,14 +86,14 @@
         self.max_grant_ms
     }
 
-    /// Starts from the defaults.
+    /// Returns a builder with the defaults.
     #[must_use]
     pub fn builder() -> DispatchSettingsBuilder {
         DispatchSettingsBuilder::default()
     }
 }
 
-/// Builds [`DispatchSettings`]; what is not set keeps its default.
+/// Builds [`DispatchSettings`]; settings that are not set keep their defaults.
 #[derive(Debug, Clone, Default)]
 pub struct DispatchSettingsBuilder(DispatchSettings);
 
--- a/crates/citronway-core/src/dispatch/settling.rs
+++ b/crates/citronway-core/src/dispatch/settling.rs
@@ -1,4 +1,4 @@
-//! How requests come to their outcome.
+//! Final outcomes of requests: answers, refusals, cancellations, expiry.
 
 use super::arriving::running_elsewhere;
 use super::machine::Dispatcher;
@@ -30,9 +30,10 @@
         }
     }
 
-    /// The endpoint has answered a cancellation. A slot is freed only by its
-    /// word. What the caller was told stands: a non-idempotent request that
-    /// may have run is not run again, since it may have begun before.
+    /// Handles the endpoint's answer to a cancellation. Only a confirmation frees
+    /// the slot. An outcome that the caller already has stays: a non-idempotent
+    /// request that may have run is not run again, since it may have started
+    /// before it was cancelled.
     pub(super) fn on_cancel_done(&mut self, id: RequestId, confirmed: bool) {
         if !confirmed {
             return;
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Answers everybody whose time is over.
+    /// Answers waiters, queued requests and orders whose deadline has come, and
+    /// frees the slots of orders that cannot act any more.
     pub(super) fn expire(&mut self, turn: Turn) {
         let now = turn.now.wall;
         for waiter in self.waiters.expire(now) {
@@ -51,8 +53,8 @@
         for waiting in self.queue.expire(now) {
             self.give_up(&waiting, NotRunReason::Expired);
         }
-        // An order whose transport never reports back must not leave its
-        // caller without an answer, so the deadline is watched here too.
+        // The transport may never report an order's outcome. The caller must
+        // still get an answer, so the deadline is checked here too.
         for ticket in self.slots.overdue(now) {
             self.unresolved(ticket, MayHaveRunReason::Timeout, turn);
         }
@@ -61,14 +63,14 @@
         }
     }
 
-    /// Answers a request that leaves the queue without having been sent.
+    /// Answers a request that left the queue without being sent as not run.
     pub(super) fn give_up(&mut self, waiting: &QueuedRequest, reason: NotRunReason) {
         let outcome = Outcome::NotRun(NotRun::new(reason, self.retry_after_ms(reason)));
         let req = &waiting.request;
         self.conclude(waiting.origin, req.id, req.repeat, outcome);
     }
 
-    /// Answers all that wait in the queue.
+    /// Empties the queue and answers every request in it as not run.
     pub(super) fn give_up_all(&mut self, reason: NotRunReason) {
         for waiting in self.queue.drain() {
             self.give_up(&waiting, reason);
@@ -112,8 +114,8 @@
         self.settle(&order, outcome);
     }
 
-    /// The outcome of an order will not come. Its caller is answered at once;
-    /// its slot stays taken, see [`super::slots::Slots`].
+    /// Marks an order whose outcome is unknown. Its caller is answered at once;
+    /// its slot stays occupied, see [`super::slots::Slots`].
     fn unresolved(&mut self, ticket: Ticket, reason: MayHaveRunReason, turn: Turn) {
         let Some(order) = self.slots.get_mut(ticket) else {
             return;
@@ -133,8 +135,9 @@
         self.settle_running(&order, Outcome::MayHaveRun(may));
     }
 
-    /// Settles an order that has left its slot. One that was unresolved has
-    /// had its reply; only an answer adds to what is known of it.
+    /// Records the outcome of an order that has left its slot. The caller of an
+    /// unresolved order already has a reply; only an answer is recorded for
+    /// later duplicates.
     fn settle(&mut self, order: &Order, outcome: Outcome) {
         if order.state == OrderState::Running {
             return self.settle_running(order, outcome);
@@ -149,7 +152,8 @@
         self.conclude(order.origin, order.id, order.repeat, outcome);
     }
 
-    /// Gives an outcome to its caller and to everybody who repeated it.
+    /// Sends an outcome to the caller and to all duplicates that wait for it.
+    
     fn conclude(&mut self, origin: Ticket, id: RequestId, repeat: Repeat, outcome: Outcome) {
         if repeat == Repeat::NonIdempotent {
             self.duplicates.settle(id, &outcome);
--- a/crates/citronway-core/src/dispatch/share.rs
+++ b/crates/citronway-core/src/dispatch/share.rs
@@ -1,32 +1,34 @@
-//! Share of an endpoint's slots that a class is kept alive with.
+//! Guaranteed share of an endpoint's slots for a class.
 //!
-//! Counted in slot time and not in orders: batch orders that take a hundred
-//! times longer than interactive ones would otherwise take nearly all slots
-//! with a tenth of the orders.
+//! The share is counted in slot time and not in orders: otherwise batch orders
+//! that take a hundred times longer than interactive ones would take nearly all
+//! slots with a tenth of the orders.
 
 use crate::time::Mono;
 
-/// A class that has had more than its share for long is back in line after this.
+/// Upper bound on the slot time that a class is over its share, as the time in
+/// which its share makes up for it, in milliseconds.
 const LONGEST_DEBT_MS: i64 = 1_000;
 
-/// A class that was passed over is owed no more than this.
+/// Upper bound on the slot time that a class is owed, as the time in which its
+/// share amounts to it, in milliseconds.
 const LONGEST_CREDIT_MS: i64 = 1_000;
 
-/// Hundredths in a whole.
+/// Whole share, in hundredths.
 const WHOLE: i64 = 100;
 
-/// Account of one class: slot time due minus slot time had.
+/// Balance of one class: slot time due to it minus slot time used by it.
 #[derive(Debug, Clone)]
 pub struct KeptShare {
     hundredths: u8,
-    /// In hundredths of a slot, times milliseconds.
+    /// In hundredths of a slot times milliseconds; positive if slot time is owed.
     balance: i64,
-    /// `None` before the first count.
+    /// End of the time counted so far; `None` before the first count.
     counted_until: Option<Mono>,
 }
 
 impl KeptShare {
-    /// An even account. More than the whole is taken for the whole.
+    /// Creates a balance of zero. A share above 100 hundredths counts as 100.
     #[must_use]
     pub const fn new(hundredths: u8) -> Self {
         Self {
@@ -42,14 +44,15 @@
         self.hundredths
     }
 
-    /// Slot time that the class has had too little, zero if none.
+    /// Slot time owed to the class, in hundredths of a slot times milliseconds;
+    /// zero if none.
     #[must_use]
     pub const fn deficit(&self) -> i64 {
         if self.balance > 0 { self.balance } else { 0 }
     }
 
-    /// Counts the time since the last call. `held` slots are used by the class
-    /// out of `limit`. Nothing is owed to a class that has no work `waiting`.
+    /// Counts the time since the last call, during which the class used `held`
+    /// slots out of `limit`. A class without `waiting` requests is owed nothing.
     pub fn pass_time(&mut self, now: Mono, limit: u32, held: u32, waiting: bool) {
         let since = self.counted_until.unwrap_or(now);
         let passed = i64::try_from(now.since(since)).unwrap_or(i64::MAX);
--- a/crates/citronway-core/src/dispatch/slots.rs
+++ b/crates/citronway-core/src/dispatch/slots.rs
@@ -1,4 +1,4 @@
-//! Orders that may be running at the endpoint, each in a slot of its own.
+//! Slots of an endpoint: one for each order that it may be running.
 
 use indexmap::IndexMap;
 
@@ -8,27 +8,27 @@
 use crate::request::Repeat;
 use crate::time::{Mono, Wall};
 
-/// How far an order has come.
+/// State of an order in a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderState {
     /// Its outcome is awaited.
     Running,
-    /// Its caller has been answered, but the endpoint may still run it.
+    /// Its caller has been answered, but the endpoint may still be running it.
     Unresolved,
 }
 
 /// An order that was sent.
 #[derive(Debug, Clone)]
 pub struct Order {
-    /// Whom to reply to.
+    /// Ticket of the submission, for the reply.
     pub origin: Ticket,
-    /// Identity of the request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its key.
+    /// Key of the request.
     pub key: KeyRef,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassName,
-    /// Its shard.
+    /// Shard it was sent under.
     pub at: ShardRef,
     /// Whether it may run more than once.
     pub repeat: Repeat,
@@ -36,94 +36,96 @@
     pub deadline: Wall,
     /// When it was sent.
     pub sent: Mono,
-    /// How far it has come.
+    /// State of the order.
     pub state: OrderState,
-    /// The endpoint has been asked to cancel it.
+    /// Whether the endpoint has been asked to cancel it.
     pub cancelling: bool,
 }
 
 /// The slots of one endpoint.
 ///
 /// An order keeps its slot until its answer, a confirmed cancellation, or its
-/// deadline and the skew bound: an order that timed out or whose connection
-/// broke may still be running. Freed any sooner, the next order would come on
-/// top of it, and an endpoint that is slow already would get more work than it
-/// has slots.
+/// deadline plus the skew bound: an order that timed out or whose connection
+/// broke may still be running. If its slot were freed sooner, the next order
+/// would run beside it, and an endpoint that is already slow would get more
+/// work than it has slots.
 #[derive(Debug, Default)]
 pub struct Slots {
     orders: IndexMap<Ticket, Order>,
 }
 
 impl Slots {
-    /// Slots in use.
+    /// Number of slots in use.
     #[must_use]
     pub fn used(&self) -> u32 {
         u32::try_from(self.orders.len()).unwrap_or(u32::MAX)
     }
 
-    /// Slots of orders whose outcome is awaited.
+    /// Number of slots with orders whose outcome is awaited.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.count(|order| order.state == OrderState::Running)
     }
 
-    /// Slots that orders of one class use.
+    /// Number of slots that a class uses.
     #[must_use]
     pub fn used_by(&self, class: &ClassName) -> u32 {
         self.count(|order| order.class == *class)
     }
 
-    /// Slots that orders of one key use.
+    /// Number of slots that a key uses.
     #[must_use]
     pub fn used_by_key(&self, key: &KeyRef) -> u32 {
         self.count(|order| order.key == *key)
     }
 
-    /// Whether an order of the shard may be running.
+    /// Whether an order for a key of the range may be running.
     #[must_use]
     pub fn has_order_in(&self, part: &KeyRange) -> bool {
         self.orders.values().any(|order| part.has(&order.key))
     }
 
-    /// Classes of the orders that hold a slot, one for each.
+    /// Classes of the orders in slots, one item for each order.
     pub fn classes(&self) -> impl Iterator<Item = &ClassName> {
         self.orders.values().map(|order| &order.class)
     }
 
-    /// Takes a slot.
+    /// Puts an order into a slot.
     pub fn occupy(&mut self, ticket: Ticket, order: Order) {
         self.orders.insert(ticket, order);
     }
 
-    /// An order by its ticket.
+    /// The order with this ticket; `None` if it has no slot.
     pub fn get_mut(&mut self, ticket: Ticket) -> Option<&mut Order> {
         self.orders.get_mut(&ticket)
     }
 
-    /// Frees the slot of an order.
+    /// Frees the slot of an order and returns the order; `None` if it has no slot.
     pub fn free(&mut self, ticket: Ticket) -> Option<Order> {
         self.orders.shift_remove(&ticket)
     }
 
-    /// Ticket of the running order that answers an origin.
+    /// Ticket of the running order of an origin.
     #[must_use]
     pub fn running_by_origin(&self, origin: Ticket) -> Option<Ticket> {
         self.find(|order| order.origin == origin && order.state == OrderState::Running)
     }
 
-    /// Ticket of an order of this id that the endpoint was asked to cancel.
+    /// Ticket of an order with this request id that the endpoint was asked to
+    /// cancel.
     #[must_use]
     pub fn cancelling(&self, id: RequestId) -> Option<Ticket> {
         self.find(|order| order.id == id && order.cancelling)
     }
 
-    /// Orders whose callers must be answered now because the deadline has come.
+    /// Running orders whose deadline has come: their callers must be answered now.
     #[must_use]
     pub fn overdue(&self, now: Wall) -> Vec<Ticket> {
         self.select(|order| order.state == OrderState::Running && order.deadline <= now)
     }
 
-    /// Orders that cannot act any more.
+    /// Orders that cannot act any more: their deadline plus the skew bound has
+    /// passed.
     #[must_use]
     pub fn expired(&self, now: Wall, skew_ms: u64) -> Vec<Ticket> {
         self.select(|order| order.deadline.plus(skew_ms) <= now)
--- a/crates/citronway-core/src/dispatch/spec.rs
+++ b/crates/citronway-core/src/dispatch/spec.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher starts from.
+//! Initial state of a dispatcher, and its builder.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -11,39 +11,40 @@
 use crate::peer::KnownRequests;
 use crate::time::{Now, Wall};
 
-/// Ticket that a dispatcher gives first unless told otherwise.
+/// Default of the first ticket that a dispatcher issues.
 const FIRST_TICKET: Ticket = 1;
 
-/// Unless it is known otherwise, a predecessor has left something behind.
+/// Default of [`DispatcherSpec::inherited`]: a predecessor may have left orders
+/// or grants.
 const fn assumed() -> bool {
     true
 }
 
-/// All that a dispatcher knows when it starts.
+/// Initial state of a dispatcher.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DispatcherSpec {
     /// Name of the endpoint.
     pub name: EndpointName,
-    /// The endpoint.
+    /// Configuration of the endpoint.
     pub endpoint: Endpoint,
     /// Classes of work.
     pub classes: IndexMap<ClassName, Class>,
-    /// Limits and times.
+    /// Settings of the dispatcher.
     #[serde(default)]
     pub settings: DispatchSettings,
     /// Epoch of the dispatch row.
     pub epoch: Epoch,
-    /// Dispatcher that the row names.
+    /// Session of the dispatcher in the dispatch row.
     pub session: Session,
-    /// A predecessor may have sent ids created before this.
+    /// A predecessor may have sent request ids created before this.
     pub floor: Wall,
-    /// What a predecessor knew of requests.
+    /// Requests known to a predecessor.
     #[serde(default)]
     pub known: KnownRequests,
-    /// A predecessor may have left orders or grants at the endpoint.
+    /// Whether a predecessor may have left orders or grants at the endpoint.
     #[serde(default = "assumed")]
     pub inherited: bool,
-    /// First ticket that the dispatcher gives.
+    /// First ticket that the dispatcher issues.
     pub first_ticket: Ticket,
 }
 
@@ -52,7 +53,7 @@
 pub struct DispatcherBuilder(DispatcherSpec);
 
 impl DispatcherBuilder {
-    /// Begins with defaults and no classes.
+    /// Creates a builder with defaults and no classes.
     #[must_use]
     pub fn new(name: &EndpointName, endpoint: &Endpoint) -> Self {
         Self(DispatcherSpec {
@@ -76,14 +77,14 @@
         self
     }
 
-    /// Sets limits and times.
+    /// Sets the settings of the dispatcher.
     #[must_use]
     pub fn settings(mut self, cfg: DispatchSettings) -> Self {
         self.0.settings = cfg;
         self
     }
 
-    /// Sets the epoch of the dispatch row and the session it names.
+    /// Sets the epoch of the dispatch row and the session in the row.
     #[must_use]
     pub fn role(mut self, epoch: Epoch, session: &Session) -> Self {
         self.0.epoch = epoch;
@@ -91,39 +92,39 @@
         self
     }
 
-    /// Sets the floor: a predecessor may have sent ids created before it. It
-    /// must lie after the predecessor's last order on any clock, so the skew
-    /// bound is to be included.
+    /// Sets the floor: a predecessor may have sent request ids created before it.
+    /// It must lie after the predecessor's last order on any clock, so it must
+    /// include the skew bound.
     #[must_use]
     pub const fn floor(mut self, floor: Wall) -> Self {
         self.0.floor = floor;
         self
     }
 
-    /// States that no predecessor has left anything at the endpoint: there was
-    /// none, or it waited for all its work before it gave the role away.
+    /// States that no predecessor has left orders or grants at the endpoint: there
+    /// was none, or all its orders had ended before it handed the role over.
     #[must_use]
     pub const fn nothing_inherited(mut self) -> Self {
         self.0.inherited = false;
         self
     }
 
-    /// Takes over what a predecessor knew of requests.
+    /// Sets the requests known to a predecessor.
     #[must_use]
     pub fn known(mut self, known: &KnownRequests) -> Self {
         self.0.known.clone_from(known);
         self
     }
 
-    /// Sets the first ticket that the dispatcher gives; the following ones are
-    /// counted up from it.
+    /// Sets the first ticket that the dispatcher issues; further tickets count up
+    /// from it.
     #[must_use]
     pub const fn first_ticket(mut self, ticket: Ticket) -> Self {
         self.0.first_ticket = ticket;
         self
     }
 
-    /// The specification, for a trace.
+    /// Returns the specification, for a trace.
     #[must_use]
     pub fn spec(self) -> DispatcherSpec {
         self.0
--- a/crates/citronway-core/src/dispatch/waiters.rs
+++ b/crates/citronway-core/src/dispatch/waiters.rs
@@ -1,4 +1,4 @@
-//! Duplicates that wait for the answer of the request they repeat.
+//! Duplicates that wait for the outcome of the request they repeat.
 
 use indexmap::IndexMap;
 
@@ -6,23 +6,23 @@
 use crate::node::events::Ticket;
 use crate::time::Wall;
 
-/// A duplicate that waits.
+/// A waiting duplicate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Waiter {
-    /// Whom to reply to.
+    /// Ticket of the submission, for the reply.
     pub origin: Ticket,
-    /// Its own deadline.
+    /// Deadline of the duplicate itself.
     pub deadline: Wall,
 }
 
-/// Duplicates that wait, by the id they share.
+/// Waiting duplicates by request id.
 #[derive(Debug, Default)]
 pub struct Waiters {
     by_id: IndexMap<RequestId, Vec<Waiter>>,
 }
 
 impl Waiters {
-    /// Duplicates of an id that wait.
+    /// Number of waiting duplicates of an id.
     #[must_use]
     pub fn len_of(&self, id: RequestId) -> usize {
         self.by_id.get(&id).map_or(0, Vec::len)
@@ -33,12 +33,13 @@
         self.by_id.entry(id).or_default().push(waiter);
     }
 
-    /// Takes out all duplicates of an id.
+    /// Removes and returns all duplicates of an id.
     pub fn take(&mut self, id: RequestId) -> Vec<Waiter> {
         self.by_id.swap_remove(&id).unwrap_or_default()
     }
 
-    /// Takes out the duplicates whose own deadline has come.
+    /// Removes and returns the duplicates whose own deadline has come.
+    
     pub fn expire(&mut self, now: Wall) -> Vec<Waiter> {
         let mut expired = Vec::new();
         for waiters in self.by_id.values_mut() {
--- a/crates/citronway-core/tests/dispatch_duplicates.rs
+++ b/crates/citronway-core/tests/dispatch_duplicates.rs
@@ -1,4 +1,5 @@
-//! No booking runs twice, and nobody gets another caller's answer.
+//! Deduplication: no non-idempotent request runs twice, and no caller gets the
+//! answer to another request.
 
 mod dispatch_support;
 
@@ -17,9 +18,9 @@
     })
 }
 
-/// A utility's client times out early and books again under the same id while
-/// the first booking runs. Sent on, the bottle would be booked and billed
-/// twice. Both callers must get the one answer.
+/// Failure guarded against: a client times out early and repeats a booking under
+/// the same id while the first one runs. If the repeat were sent as well, the
+/// booking would run twice. Both callers must get the same answer.
 #[gtest]
 fn duplicate_in_flight_waits_for_the_same_answer() {
     let mut rig = Rig::checking(2);
@@ -57,9 +58,9 @@
     expect_that!(rig.orders(), len(eq(2)));
 }
 
-/// Two clients draw the same id by a fault of their random numbers. The second
-/// would be handed the certificate of the first one's bottle. It must be told
-/// that its id is taken, whether the first is running or done.
+/// Failure guarded against: two clients with faulty random numbers generate the
+/// same id, and the second gets the answer to the first one's request. The second
+/// must be rejected, whether the first is running or done.
 #[gtest]
 fn same_id_for_other_work_is_rejected() {
     let mut rig = Rig::checking(2);
@@ -85,9 +86,9 @@
     expect_that!(rig.orders(), len(eq(2)));
 }
 
-/// The connection breaks while a rollback runs; the caller is told that it may
-/// have run and asks again. Run again, the schema would be damaged. The id must
-/// stay barred, even after the endpoint confirms the cancellation.
+/// Failure guarded against: the connection breaks while a request runs; the
+/// caller gets `may have run` and repeats the request, which runs twice. The id
+/// must not be sent again, even after the endpoint confirms the cancellation.
 #[gtest]
 fn may_have_run_is_never_sent_again() {
     let mut rig = Rig::checking(2);
@@ -115,9 +116,9 @@
     expect_that!(rig.told(2), eq("booked"));
 }
 
-/// The dispatcher's instance is lost after it sent a booking on. Its successor
-/// gets the caller's repeat and finds no such id. Sent on, it would run twice;
-/// ids from before the takeover must be answered `may have run`.
+/// Failure guarded against: the dispatcher's instance is lost after it sent a
+/// booking. Its successor receives the caller's repeat, does not know the id, and
+/// runs it again. Ids from before the takeover must be answered `may have run`.
 #[gtest]
 fn id_from_before_the_takeover_is_not_run() {
     let mut rig = Rig::new(builder(2, true).floor(wall(100)));
@@ -139,10 +140,10 @@
     expect_that!(rig.told(1), eq("may have run: BeforeFloor"));
 }
 
-/// An entry is restarted. Its successor as dispatcher is asked again for two
-/// bookings, one answered and one still without outcome at the handover, and
-/// for one under an id that was used for another bottle. The first caller gets
-/// its answer, the second is told that it may have run, nothing runs again.
+/// A dispatcher hands over to its successor, which receives repeats of two
+/// bookings, one answered and one without an outcome at the handover, and a
+/// request whose id was used for another booking. The first repeat gets the
+/// answer, the second `may have run`, and nothing runs again.
 #[gtest]
 fn handed_over_ids_are_known_to_the_successor() {
     let mut first = Rig::checking(2);
@@ -164,9 +165,10 @@
     expect_that!(second.orders(), len(eq(1)));
 }
 
-/// The table is full of ids still within the window. Dropping one silently
-/// would run its late duplicate again. The floor must rise over what is
-/// dropped, and while all are young new work must be refused as not run.
+/// Failure guarded against: the table is full of ids within the window, one is
+/// dropped, and its late duplicate runs again. The floor must rise above a
+/// dropped id, and while all ids are younger than the minimum window new requests
+/// must be refused as not run.
 #[gtest]
 fn full_table_raises_the_floor_or_refuses_but_never_forgets() {
     let cfg = DispatchSettings::builder()
@@ -200,9 +202,9 @@
     expect_that!(rig.orders(), len(eq(1)));
 }
 
-/// A caller's clock is 300 ms fast. Were its booking sent on at once and the
-/// dispatcher lost, the successor's floor would lie before the id and the
-/// booking would run twice. It waits until its time of creation has come.
+/// Failure guarded against: a caller's clock is 300 ms fast, its booking is sent
+/// at once, and the dispatcher is lost. The successor's floor lies before the id,
+/// so the booking runs twice. It must wait until its time of creation has come.
 #[gtest]
 fn id_from_a_fast_clock_waits_for_its_time() {
     let mut rig = Rig::checking(2);
@@ -228,8 +230,9 @@
     expect_that!(fault_of(&rig, 2), some(eq(RequestFault::IdWithoutTime)));
 }
 
-/// The second caller of one booking gives up early while the first still
-/// waits in the queue. `Not run` would be a lie as soon as a slot is free.
+/// Failure guarded against: a duplicate with an early deadline expires while the
+/// first request is still queued, and is answered `not run` although the first
+/// runs later.
 #[gtest]
 fn duplicate_that_expires_first_is_not_told_not_run() {
     let mut rig = Rig::checking(1);
--- a/crates/citronway-core/tests/dispatch_grants.rs
+++ b/crates/citronway-core/tests/dispatch_grants.rs
@@ -1,4 +1,5 @@
-//! A key has one owner: grants, revocations, lost endpoints.
+//! Leases of shards: grants, revocations and lost endpoints. A key never has two
+//! owners.
 
 mod dispatch_support;
 
@@ -57,9 +58,9 @@
     expect_that!(rig.orders(), is_empty());
 }
 
-/// A move begins while a migration runs. Cut off, it would leave a half-done
-/// schema. The shard is renewed until the answer, then revoked, and released
-/// only when the endpoint has confirmed that.
+/// Failure guarded against: a shard moves while an order for it runs, and the
+/// order is cut off half done. The shard is renewed until the answer, then
+/// revoked, and released only when the endpoint has confirmed the revocation.
 #[gtest]
 fn move_waits_for_work_in_flight() {
     let mut rig = Rig::checking(2);
@@ -78,9 +79,10 @@
     expect_that!(rig.released(), is_true());
 }
 
-/// A renewal gets no answer, then the shard moves and the revocation is
-/// confirmed. The renewal is still in a buffer and would give the shard back
-/// after the next owner got it. The release must wait for the renewal's end.
+/// Failure guarded against: a renewal is unanswered, the shard moves and the
+/// revocation is confirmed. The renewal is still in a buffer and gives the shard
+/// back to the endpoint after the next owner got it. The release must wait for
+/// the renewal's end.
 #[gtest]
 fn unanswered_renewal_holds_the_release_back() {
     let mut rig = Rig::checking(2);
@@ -104,9 +106,9 @@
     expect_that!(rig.released(), is_true());
 }
 
-/// The endpoint does not check who orders, and an order of an earlier
-/// dispatcher may be running there. Only waiting out the longest order keeps
-/// the next owner from running beside it; a confirmed revocation proves nothing.
+/// Failure guarded against: an endpoint that does not check orders still runs an
+/// order of an earlier dispatcher when the next owner starts. A confirmed
+/// revocation proves nothing there, so the release waits for the longest order.
 #[gtest]
 fn endpoint_that_does_not_check_is_waited_out() {
     let mut rig = Rig::new(builder(2, false));
@@ -132,8 +134,8 @@
     expect_that!(rig.released(), is_true());
 }
 
-/// A caller allows an hour. Sent with that deadline, the order would outlive
-/// what a successor waits out, and act beside the key's next owner.
+/// Failure guarded against: a request has a deadline of an hour, and its order
+/// runs longer than a successor waits, beside the key's next owner.
 #[gtest]
 fn order_never_outlives_the_longest_order() {
     let mut rig = Rig::checking(2);
@@ -163,9 +165,10 @@
     expect_that!(revoked(&rig), is_true());
 }
 
-/// An endpoint freezes with a grant in its socket buffer, and its keys get new
-/// owners. Told too early, the planner would make a second owner; the loss is
-/// quiet only after the latest end ever sent, and later probes grant nothing.
+/// Failure guarded against: an endpoint freezes with a grant in its socket buffer,
+/// and the planner assigns its keys to a second owner while that grant is live.
+/// The loss must be reported as quiet only after the latest end ever sent, and
+/// later probes must grant nothing.
 #[gtest]
 fn frozen_endpoint_is_quiet_after_the_latest_end_sent() {
     let mut rig = Rig::checking(2);
@@ -176,9 +179,10 @@
     expect_that!(rig.lost(true), is_true());
 }
 
-/// A frozen endpoint thaws after its loss was reported as quiet, while the
-/// planner is giving its keys away. Granted again, both would own them. The
-/// shard stays barred until it comes with a new epoch.
+/// Failure guarded against: a frozen endpoint answers again after its loss was
+/// reported as quiet, gets its shard granted again while the planner assigns it
+/// to another endpoint, and both own it. The shard must not be granted before it
+/// has a new epoch.
 #[gtest]
 fn endpoint_that_comes_back_gets_nothing_under_the_old_epoch() {
     let mut rig = Rig::checking(2);
@@ -194,9 +198,10 @@
     expect_that!(rig.did(granted), is_true());
 }
 
-/// An endpoint that does not check is lost with one order on its way. It may
-/// still run that order, so the order's key waits for its deadline. All other
-/// keys waited with it, for half a minute, although nothing of theirs could run.
+/// Failure guarded against: an endpoint that does not check orders is lost with
+/// one order in flight. It may still run that order, so the order's shard waits
+/// for its deadline. All other shards waited with it, for half a minute, although
+/// no order of theirs could run.
 #[gtest]
 fn endpoint_that_does_not_check_keeps_only_shards_with_orders() {
     let mut rig = Rig::new(builder(2, false).nothing_inherited());
@@ -219,7 +224,7 @@
     expect_that!(released(&rig).contains(&busy.at), is_true());
 }
 
-/// The two halves of the key space, that of the request's key first.
+/// The two halves of the key space; the first one contains the request's key.
 fn halves(req: &Request) -> (OwnedShard, OwnedShard) {
     let middle = u64::MAX / 2;
     let (mut low, mut high) = (shard(1, 1, false), shard(2, 1, false));
@@ -246,10 +251,10 @@
     told.collect()
 }
 
-/// A shard moves while requests for it wait at their entries. They were told
-/// `may have run` although nothing of them was ever sent: the next owner took
-/// all ids created before the end of the move for ids that may have run. What
-/// was sent lies before the last order.
+/// Failure guarded against: a shard moves while requests for it wait at the
+/// instances that accepted them. They were answered `may have run` although they
+/// were never sent, because the next owner's floor was the end of the move. The
+/// floor must be the time of the last order.
 #[gtest]
 fn released_shard_has_the_last_order_as_its_floor() {
     let mut rig = Rig::new(builder(2, true).nothing_inherited());
@@ -267,8 +272,9 @@
     expect_that!(floor, some(eq(wall(101))));
 }
 
-/// The hold lapses while the process is paused; a successor may be acting by
-/// now. Nothing may go to the endpoint, but callers get their final answers.
+/// Failure guarded against: the hold lapses while the process is paused, and it
+/// sends to the endpoint although a successor may be active. Nothing may be sent,
+/// but callers get their final answers.
 #[gtest]
 fn nothing_is_sent_while_the_role_is_not_held() {
     let mut rig = Rig::checking(1);
@@ -299,8 +305,8 @@
     expect_that!(rig.orders(), len(eq(1)));
 }
 
-/// Two reports overtake each other on the way. Taken in by arrival, the older
-/// one would take the endpoint's word back that it is leaving.
+/// Failure guarded against: two reports arrive out of order, and the older one
+/// ends the drain that the newer one reported.
 #[gtest]
 fn older_report_does_not_end_draining() {
     let mut rig = Rig::checking(1);
--- a/crates/citronway-core/tests/dispatch_hot_keys.rs
+++ b/crates/citronway-core/tests/dispatch_hot_keys.rs
@@ -1,4 +1,4 @@
-//! A key too hot for its endpoint is limited, and nobody else suffers for it.
+//! Load shedding of a hot key, so that other keys are still served.
 
 mod dispatch_support;
 
@@ -10,7 +10,7 @@
 const SLOTS: u32 = 2;
 const QUEUE_MAX: usize = 8;
 
-/// Time of an order, in milliseconds.
+/// Service time of an order, in milliseconds.
 const ORDER_MS: u64 = 10;
 
 fn of_key(n: u8, key: &str) -> Request {
@@ -24,7 +24,8 @@
     Rig::with(SLOTS, cfg)
 }
 
-/// Answers all orders that were sent; returns how many more there are since.
+/// Advances by [`ORDER_MS`] and answers all orders sent since the first
+/// `answered` ones. Adds their number to `answered`.
 fn answer_all(rig: &mut Rig, answered: &mut usize) {
     rig.until(rig.ms + ORDER_MS);
     for order in rig.orders().split_off(*answered) {
@@ -33,10 +34,10 @@
     }
 }
 
-/// A batch job asks for one certificate five times as often as the endpoint can
-/// answer, while a field sampler asks for others now and then. The job's
-/// requests must be refused, told so and when to come back; none of the
-/// sampler's may be, nor wait for more than the orders under way.
+/// A batch job requests one key five times as often as the endpoint can answer,
+/// while another caller requests other keys now and then. Requests of the job
+/// must be refused as `HotKeyLimited`. No request of the other caller may be
+/// refused, or wait for more than the orders in flight.
 #[gtest]
 fn a_key_too_hot_is_refused_and_others_are_served() {
     let mut rig = rig();
@@ -57,8 +58,8 @@
     expect_that!(limited, gt(100));
 }
 
-/// The batch job comes first and nobody else is there, so all of the queue is
-/// its own. The first sampler must find room nevertheless.
+/// Failure guarded against: a hot key fills the whole queue while no other key is
+/// requested, and the first request of another key is refused.
 #[gtest]
 fn a_hot_key_alone_leaves_room_for_the_first_other() {
     let mut rig = rig();
@@ -72,7 +73,7 @@
     expect_that!(rig.told(cool(0)), eq("done"));
 }
 
-/// Origin of the sampler's request of a round.
+/// Origin of the request for another key in a round.
 fn cool(round: u8) -> u64 {
     1_000 + u64::from(round)
 }
--- a/crates/citronway-core/tests/dispatch_hot_shard.rs
+++ b/crates/citronway-core/tests/dispatch_hot_shard.rs
@@ -1,4 +1,4 @@
-//! A hot key that gets a shard of its own while it has work.
+//! A hot key that gets a shard of its own while it has queued or running requests.
 
 mod dispatch_support;
 
@@ -20,10 +20,10 @@
     }
 }
 
-/// A bottle's key turns hot. It gets its own shard, which moves to another
-/// endpoint at once, while a booking for it is still running under the shard of
-/// the range. Told by shard numbers the hot shard had no work: it was released,
-/// and two endpoints worked on the key.
+/// Failure guarded against: a hot key gets its own shard, which moves to another
+/// endpoint at once, while a booking for the key is still running under the
+/// surrounding shard. Matched by shard number the hot shard had no orders: it was
+/// released, and two endpoints worked on the key.
 #[gtest]
 fn hot_shard_waits_for_work_of_its_key_under_the_old_shard() {
     let mut rig = Rig::checking(2);
@@ -38,9 +38,10 @@
     expect_that!(rig.released(), eq(true));
 }
 
-/// The same key, with a second booking waiting in the queue. It was sent under
-/// the old shard after the hot one had gone to another endpoint. It goes back to
-/// its entry, which looks up where the key is now.
+/// Failure guarded against: a booking for a hot key is queued under the
+/// surrounding shard and is sent there after the hot shard has moved to another
+/// endpoint. It must be answered as not run, so that the instance that accepted
+/// it looks up the key's present owner.
 #[gtest]
 fn waiting_work_of_a_hot_key_goes_back_to_its_entry() {
     let mut rig = Rig::checking(1);
--- a/crates/citronway-core/tests/dispatch_load.rs
+++ b/crates/citronway-core/tests/dispatch_load.rs
@@ -1,4 +1,4 @@
-//! Which work goes first, what is refused, and how much runs at once.
+//! Priorities, admission control and the concurrency limit.
 
 mod dispatch_support;
 
@@ -18,7 +18,7 @@
         .collect()
 }
 
-/// Answers the running orders one by one until all are done, `took` ms each.
+/// Answers the orders one by one, each after `took` ms, until none is left.
 fn run_all(rig: &mut Rig, took: u64) {
     let mut done = 0;
     while let Some(order) = rig.orders().get(done).copied() {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Like [`lookup`], but with a key of its own class of keys.
+/// An interactive [`lookup`] for a given key, with its deadline at 9 s.
 fn of_key(n: u8, key: &str) -> citronway_core::request::Request {
     let mut req = lookup(n, "interactive", 9_000);
     req.key = key.into();
@@ -46,9 +46,9 @@
     expect_that!(sent_order(&rig), eq(&vec![1, 4, 3, 2]));
 }
 
-/// Console work arrives faster than one slot serves it. Without a kept share
-/// the nightly batch would wait for ever; it gets its quarter of the slot time,
-/// though its orders take as long as the others.
+/// Failure guarded against: interactive requests arrive faster than one slot
+/// serves them, and batch requests wait for ever. Batch must get its kept share,
+/// a quarter of the slot time.
 #[gtest]
 fn batch_gets_its_kept_share() {
     let mut rig = Rig::checking(1);
@@ -93,13 +93,13 @@
     let Some(Outcome::NotRun(not_run)) = rig.replies(6).pop() else {
         panic!("not refused");
     };
-    // Five orders of 20 ms on one slot.
+    // Five orders of 20 ms each on one slot.
     expect_that!(not_run.retry_after_ms, eq(100));
 }
 
-/// Batch orders take ten times as long as console work. With one mean for both,
-/// a console request behind an idle queue would be refused as too late, though
-/// its own kind takes 20 ms.
+/// Failure guarded against: batch orders take much longer than interactive ones.
+/// With one mean for both classes, an interactive request at an empty queue is
+/// refused as too late, although its own class takes 20 ms.
 #[gtest]
 fn slow_batch_does_not_make_interactive_look_late() {
     let mut rig = Rig::checking(1);
@@ -113,9 +113,10 @@
     expect_that!(rig.told(5), eq("-"));
 }
 
-/// More console work comes than the slot can serve, so batch is overtaken again
-/// and again. Going by what is before it in the queue, it would be taken in and
-/// expire there; the pace of its class tells that it is too late.
+/// Failure guarded against: more interactive requests arrive than the slot can
+/// serve, so batch requests are overtaken again and again. Estimated by the work
+/// before it in the queue, a batch request is accepted and expires there. It must
+/// be refused by the service interval of its class.
 #[gtest]
 fn batch_that_will_be_overtaken_is_refused_on_arrival() {
     let mut rig = Rig::checking(1);
@@ -130,14 +131,14 @@
         rig.until(rig.ms + 20);
         rig.answered(rig.last_order(), "done");
     }
-    // Batch has a quarter of the slot: one order of 20 ms each 80 ms.
+    // Batch has a quarter of the slot: one order of 20 ms every 80 ms.
     rig.submit(2, lookup(2, "batch", rig.ms + 70));
     expect_that!(rig.told(2), eq("not run: DeadlineTooClose"));
 }
 
-/// Overload: by the time a slot is free the earliest deadline is only just
-/// ahead. Begun, that order would time out in the slot and make the next one
-/// too late as well; the next one is begun instead.
+/// Failure guarded against: under overload the request with the earliest deadline
+/// is sent just too late, times out in its slot and makes the next one too late
+/// as well. The next request must be sent instead.
 #[gtest]
 fn hopeless_request_lets_others_go_first() {
     let mut rig = Rig::checking(1);
@@ -149,9 +150,9 @@
     expect_that!(sent_order(&rig), eq(&vec![1, 3]));
 }
 
-/// A pause makes a few answers look very slow, so that the estimate exceeds
-/// every deadline. Refused for ever, nothing would be sent and the estimate
-/// would never come down. An idle endpoint must get the next request.
+/// Failure guarded against: a pause makes a few answers very slow, so that the
+/// estimate exceeds every deadline. All requests are refused, and the estimate is
+/// never corrected. An idle endpoint must get the next request.
 #[gtest]
 fn idle_endpoint_is_measured_again_after_slow_answers() {
     let mut rig = Rig::checking(1);
@@ -172,8 +173,8 @@
     expect_that!(rig.told(3), eq("not run: QueueFull"));
 }
 
-/// One mill asks for the same certificate a thousand times. It would fill the
-/// queue and have every other customer refused; it may take its share only.
+/// Failure guarded against: requests for one key fill the queue, and all other
+/// keys are refused. A key may fill only its share.
 #[gtest]
 fn hot_key_leaves_room_for_others() {
     let cfg = DispatchSettings::builder().queue_max(4).build();
@@ -189,14 +190,14 @@
     }
     expect_that!(rig.told(6), eq("not run: HotKeyLimited"));
     rig.answered(rig.orders()[0].ticket, "done");
-    // One of two slots is the hot key's share while `cool` waits, which would
-    // come last by its deadline.
+    // The hot key's share is one of two slots while `cool` is queued, although
+    // `cool` has the latest deadline.
     expect_that!(sent_order(&rig), eq(&vec![1, 2, 3]));
 }
 
-/// An order times out and its connection is closed, but the endpoint works on.
-/// Were its slot given away, the endpoint would run three orders on two slots.
-/// The slot stays taken until the order cannot act any more.
+/// Failure guarded against: the connection of an order breaks, but the endpoint
+/// still runs it. If its slot were freed, the endpoint would run three orders on
+/// two slots. The slot must stay occupied until the order cannot act any more.
 #[gtest]
 fn slot_of_a_lost_order_stays_taken() {
     let mut rig = Rig::checking(2);
@@ -217,9 +218,10 @@
     expect_that!(rig.orders(), len(eq(3)));
 }
 
-/// One connection of an endpoint of two slots breaks. Its order keeps one slot
-/// and halves the limit to one; counted against the limit too, nothing would be
-/// sent until its deadline, though the other slot is free.
+/// Failure guarded against: one connection of an endpoint with two slots breaks.
+/// Its order keeps one slot and lowers the limit to one. If it counted against
+/// the limit as well, nothing would be sent until its deadline, although the
+/// other slot is free.
 #[gtest]
 fn one_lost_order_does_not_stop_a_small_endpoint() {
     let mut rig = Rig::checking(2);
@@ -239,7 +241,7 @@
     rig.apply(DispatchEvent::Cancel { origin: 2 });
     rig.apply(DispatchEvent::Cancel { origin: 1 });
     expect_that!(rig.told(2), eq("not run: Cancelled"));
-    // A booking that is running is not stopped when its caller goes.
+    // A running booking is not cancelled when its caller goes.
     rig.answered(rig.last_order(), "booked");
     expect_that!(rig.told(1), eq("booked"));
     rig.submit(3, lookup(3, "interactive", 9_000));
@@ -249,9 +251,9 @@
     expect_that!(rig.told(3), eq("not run: Cancelled"));
 }
 
-/// The endpoint sheds although its report says that all is well. Going by the
-/// report, the dispatcher would keep it overloaded; the limit follows the sheds
-/// and grows again with answers.
+/// Failure guarded against: the endpoint sheds orders although it reports no load,
+/// and the dispatcher trusts the report and keeps it overloaded. The limit must
+/// follow the sheds, and grow again with answers.
 #[gtest]
 fn limit_follows_sheds_and_not_reports() {
     let mut rig = Rig::checking(6);
@@ -315,8 +317,8 @@
     expect_that!(rig.d.limit(), all!(ge(3), le(4)));
 }
 
-/// After a takeover four orders of the predecessor still run on six slots.
-/// Believing them free, the successor would put six more on top.
+/// Failure guarded against: after a takeover four orders of the predecessor still
+/// run on six slots, and the successor sends six more orders.
 #[gtest]
 fn orders_of_the_predecessor_keep_their_slots() {
     let mut rig = Rig::ungranted(builder(6, true));
--- a/crates/citronway-core/tests/dispatch_random.rs
+++ b/crates/citronway-core/tests/dispatch_random.rs
@@ -1,4 +1,4 @@
-//! Random interleavings of everything that can happen to a dispatcher.
+//! Property tests: random interleavings of the events of a dispatcher.
 
 mod dispatch_support;
 
@@ -21,7 +21,8 @@
 const BOOKING_EVERY_MS: u64 = 300;
 const SEED: u64 = 20_261_202;
 
-/// One thing that happens. Numbers choose among what there is.
+/// A random step. `pick` is an index into the open orders, cancellations or
+/// messages; a step with an index out of range does nothing.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Book { n: u8, twisted: bool, wait_ms: u64 },
@@ -54,7 +55,7 @@
     ]
 }
 
-/// What the test itself knows, apart from the dispatcher.
+/// An order that the endpoint may be running.
 #[derive(Debug)]
 struct Running {
     id: RequestId,
@@ -64,7 +65,7 @@
 #[derive(Debug)]
 struct Control {
     ticket: Ticket,
-    /// End of a grant with shards.
+    /// End of the grant, in milliseconds of wall time; `None` without shards.
     end: Option<u64>,
     revokes: bool,
 }
@@ -76,13 +77,13 @@
     open: IndexMap<Ticket, Request>,
     /// Orders that the endpoint may be running.
     running: IndexMap<Ticket, Running>,
-    /// Ids that were sent and not proven unrun.
+    /// Ids that were sent and not proven to be not run.
     burnt: IndexSet<RequestId>,
-    /// Messages to the endpoint that it has not answered.
+    /// Unanswered grants and revocations.
     control: Vec<Control>,
-    /// Ends of grants whose answers are lost; they may arrive at any moment.
+    /// Ends of grants that were reported as failed; they may still arrive.
     late: Vec<u64>,
-    /// Until when the endpoint holds the shard, as it knows.
+    /// Until when the endpoint holds the shard, by the messages it received.
     holds: u64,
     cancels: Vec<RequestId>,
     epoch: u64,
@@ -191,7 +192,7 @@
             }
             OrderReply::Refused { .. } | OrderReply::NotSent => {
                 self.ledger.running.swap_remove(&ticket);
-                // Proof counts only if it comes before the caller was told.
+                // The proof counts only if it comes before the caller's deadline.
                 if req.deadline > wall(self.rig.ms) {
                     self.ledger.burnt.swap_remove(&req.id);
                 }
@@ -339,8 +340,8 @@
 
     fn check_released(&mut self, at: &ShardRef, epoch: u64) {
         assert_eq!(*at, shard_ref(1));
-        // Once an endpoint that checks was reported quiet, its shards are free
-        // whatever it still runs: none of it can be committed any more.
+        // Once an endpoint that checks orders was reported as quiet, its shards
+        // are free even if orders still run: none can be committed any more.
         if self.checks && self.ledger.released.contains(&epoch) {
             return self.check_nothing_held();
         }
@@ -363,7 +364,8 @@
         self.ledger.control.push(control);
     }
 
-    /// The endpoint neither holds the shard nor can still be given it.
+    /// Checks that the endpoint does not hold the shard and that no grant still
+    /// under way can give it the shard.
     fn check_nothing_held(&self) {
         let now = wall(self.rig.ms).0;
         let under_way = self.ledger.control.iter().filter_map(|sent| sent.end);
@@ -373,14 +375,14 @@
         }
     }
 
-    /// Lets all deadlines pass; then everybody must have been told.
+    /// Lets all deadlines pass and checks that every request has its reply.
     fn finish(&mut self) {
         self.pass(4_000);
         assert_eq!(self.ledger.told.len(), self.ledger.asked.len());
     }
 }
 
-/// The endpoint's answer names all that the request was.
+/// The answer that identifies a request.
 fn own_answer(req: &Request) -> Answer {
     answer(&format!("{} {}", req.id, req.path))
 }
--- a/crates/citronway-core/tests/dispatch_retry_hotkeys.rs
+++ b/crates/citronway-core/tests/dispatch_retry_hotkeys.rs
@@ -1,4 +1,4 @@
-//! Retries under a budget, and the sketch of hot keys.
+//! Retry budget, and the sketch that finds hot keys.
 
 use citronway_core::hotkeys::HotKeys;
 use citronway_core::outcome::{MayHaveRun, MayHaveRunReason, NotRun, NotRunReason, Outcome};
@@ -20,8 +20,9 @@
     expect_that!(may_retry(Repeat::Idempotent, &full), is_false());
 }
 
-/// Every request to an endpoint fails. Retried freely, its load would double
-/// when it can bear it least; the budget allows a tenth of the first tries.
+/// Failure guarded against: every request to an endpoint fails and is retried,
+/// which doubles the load of an endpoint that is already failing. The budget
+/// limits retries to a tenth of the first tries.
 #[gtest]
 fn budget_bounds_retries_to_a_share_of_first_tries() {
     let mut budget = RetryBudget::new(RetrySettings::default());
--- a/crates/citronway-core/tests/dispatch_support/mod.rs
+++ b/crates/citronway-core/tests/dispatch_support/mod.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with a clock and a record of what it did.
+//! Test harness: a dispatcher with a manual clock and a record of its actions.
 #![allow(dead_code, reason = "each test binary uses a part of it")]
 
 use bytes::Bytes;
@@ -16,7 +16,7 @@
 use indexmap::IndexMap;
 use uuid::Builder;
 
-/// Wall time at which every scenario starts.
+/// Wall time at which every test starts, in milliseconds.
 pub const START: u64 = 1_700_000_000_000;
 
 /// A dispatcher under test. Times are milliseconds since [`START`].
@@ -74,7 +74,7 @@
     RequestId(Builder::from_unix_timestamp_millis(START + ms, &[n; 10]).into_uuid())
 }
 
-/// A booking: must run at most once. Due at 10 s.
+/// A non-idempotent request, created at `created` ms, with its deadline at 10 s.
 pub fn booking(n: u8, created: u64) -> Request {
     Request {
         id: id(n, created),
@@ -91,7 +91,7 @@
     }
 }
 
-/// A lookup of class `class`, due at `due`.
+/// An idempotent request of class `class` with its deadline at `due` ms.
 pub fn lookup(n: u8, class: &str, due: u64) -> Request {
     Request {
         class: class.into(),
@@ -146,7 +146,7 @@
 };
 
 impl Rig {
-    /// Starts at 0 with shard 1 granted.
+    /// Starts at 0 ms with shard 1 granted.
     pub fn new(builder: DispatcherBuilder) -> Self {
         let mut rig = Self::ungranted(builder);
         rig.set_shards(&[shard(1, 1, false)]);
@@ -163,7 +163,8 @@
         }
     }
 
-    /// Default settings, `slots` slots, an endpoint that checks.
+    /// Starts with default settings and an endpoint with `slots` slots that checks
+    /// orders.
     pub fn checking(slots: u32) -> Self {
         Self::new(builder(slots, true))
     }
@@ -182,7 +183,7 @@
         actions
     }
 
-    /// Moves on to a time without any probe being answered.
+    /// Advances the clock to `ms`; no probe is answered.
     pub fn silent_until(&mut self, ms: u64) {
         while self.ms < ms {
             self.ms = (self.ms + 20).min(ms);
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Moves on to a time; each probe gets `report` at once.
+    /// Advances the clock to `ms`; each probe is answered with `report` at once.
     pub fn until_with(&mut self, ms: u64, report: &ProbeReport) {
         while self.ms < ms {
             self.ms = (self.ms + 20).min(ms);
@@ -264,14 +265,14 @@
         self.seen.iter().filter_map(of).collect()
     }
 
-    /// Short form of the one reply to an origin, `-` if there is none yet.
+    /// Text of the only reply to an origin, `-` if there is none yet.
     pub fn told(&self, origin: Ticket) -> String {
         let replies = self.replies(origin);
         assert!(replies.len() <= 1, "several replies: {replies:?}");
         replies.first().map_or_else(|| "-".to_owned(), short)
     }
 
-    /// Whether something of a kind was done, such as `ShardReleased`.
+    /// Whether the dispatcher returned an action that matches.
     pub fn did(&self, wanted: impl Fn(&DispatchAction) -> bool) -> bool {
         self.seen.iter().any(wanted)
     }
@@ -313,7 +314,7 @@
     }
 }
 
-/// `text` of an answer, or the name of the reason.
+/// Body of an answer, or the kind of outcome and the name of its reason.
 pub fn short(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Answered(answer) => String::from_utf8_lossy(&answer.body).into_owned(),
--- a/crates/citronway-core/tests/dispatch_traces.rs
+++ b/crates/citronway-core/tests/dispatch_traces.rs
@@ -1,4 +1,4 @@
-//! Recorded traces against their stated outcomes.
+//! Replay of recorded traces against their expected decisions.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -22,43 +22,44 @@
 }
 
 /// An endpoint freezes with a booking and a renewal in its buffers. Its loss is
-/// quiet 100 ms after the end of that renewal; when it thaws it gets no grant,
-/// and its late answer goes to whoever asks again.
+/// reported as quiet 100 ms after the end of that renewal. When it answers again
+/// it gets no grant, and its late answer goes to callers that repeat the request.
 #[gtest]
 fn frozen_endpoint() {
     check("frozen-endpoint");
 }
 
-/// A client books again while its first booking runs. One order goes out, and
+/// A client repeats a booking while the first one runs. One order is sent, and
 /// all three callers get its answer.
 #[gtest]
 fn duplicate_in_flight() {
     check("duplicate-in-flight");
 }
 
-/// A dispatcher has taken over without its predecessor's table. An id from
-/// before the floor may have run; one from the floor on is new.
+/// A dispatcher has taken over without its predecessor's table. An id created
+/// before the floor may have run; an id created at the floor or later is new.
 #[gtest]
 fn takeover_floor() {
     check("takeover-floor");
 }
 
-/// The last renewal got no answer before the shard moves. The confirmed
-/// revocation does not release it; the end of that renewal does.
+/// The last renewal before the shard moves is unanswered. The confirmed
+/// revocation does not release the shard; the end of that renewal does.
 #[gtest]
 fn unanswered_renewal() {
     check("unanswered-renewal");
 }
 
-/// The endpoint says that it is leaving. What waits and what comes is told so
-/// at once; what runs is answered.
+/// The endpoint reports that it is draining. Queued and new requests are refused
+/// at once; running orders are answered.
 #[gtest]
 fn draining() {
     check("draining");
 }
 
-/// The connection breaks under the only slot. The next order waits until the
-/// lost one cannot act any more, since its cancellation is not confirmed.
+/// The connection of the order in the only slot breaks. The next order waits
+/// until the lost one cannot act any more, since its cancellation is not
+/// confirmed.
 #[gtest]
 fn lost_order() {
     check("lost-order");
