--- a/crates/citronway-core/benches/dispatch.rs
+++ b/crates/citronway-core/benches/dispatch.rs
@@ -125,7 +125,7 @@
         let mut table = Duplicates::new(&cfg, Wall(0));
         for n in 0..len {
             let req = request(n);
-            table.take(req.id, Fingerprint::of(&req));
+            table.register(req.id, Fingerprint::of(&req));
             table.settle(req.id, &done);
         }
         let new = request(len);
@@ -149,7 +149,6 @@
             b.iter(|| {
                 n += 1;
                 // Every key is new, so that each evicts another.
-                
                 sketch.add(black_box(&n));
             });
         });
--- a/crates/citronway-core/src/dispatch/admission.rs
+++ b/crates/citronway-core/src/dispatch/admission.rs
@@ -8,7 +8,7 @@
 use crate::time::Wall;
 
 /// Whole share, in hundredths.
-const WHOLE: u64 = 100;
+const WHOLE_HUNDREDTHS: u64 = 100;
 
 /// Load of the endpoint when a request arrives.
 #[derive(Debug, Clone, Copy)]
@@ -72,8 +72,8 @@
 /// refused. The limit also holds while no other key is queued, so that the first
 /// request of another key does not find the queue full.
 fn is_key_over_share(arrival: &Arrival) -> bool {
-    let most = arrival.queue_max * usize::from(arrival.key_share) / 100;
-    arrival.waiting_of_key >= most.max(1)
+    let max_waiting = arrival.queue_max * usize::from(arrival.key_share) / 100;
+    arrival.waiting_of_key >= max_waiting.max(1)
 }
 
 /// Estimated time until a slot is free for the request, in milliseconds.
@@ -88,11 +88,11 @@
     if ahead.requests < free {
         return 0;
     }
-    let by_order = (ahead.total_ms + arrival.running_ms) / slots;
-    let wait = by_order.max(ahead.pace_ms);
+    let by_work_ms = (ahead.total_ms + arrival.running_ms) / slots;
+    let estimate_ms = by_work_ms.max(ahead.interval_wait_ms);
     if ahead.kept_share == 0 {
-        return wait;
+        return estimate_ms;
     }
-    let own = (ahead.own_ms + arrival.service_ms) * WHOLE;
-    wait.min(own / (slots * u64::from(ahead.kept_share)))
+    let own_scaled = (ahead.own_ms + arrival.service_ms) * WHOLE_HUNDREDTHS;
+    estimate_ms.min(own_scaled / (slots * u64::from(ahead.kept_share)))
 }
--- a/crates/citronway-core/src/dispatch/answers.rs
+++ b/crates/citronway-core/src/dispatch/answers.rs
@@ -8,7 +8,7 @@
 use crate::outcome::Answer;
 
 /// Overhead counted for each answer in addition to its body, in bytes.
-const OVERHEAD: usize = 128;
+const OVERHEAD_BYTES: usize = 128;
 
 /// Answers by request id; the oldest are evicted first.
 #[derive(Debug)]
@@ -72,5 +72,5 @@
 }
 
 const fn size(answer: &Answer) -> usize {
-    answer.body.len() + OVERHEAD
+    answer.body.len() + OVERHEAD_BYTES
 }
--- a/crates/citronway-core/src/dispatch/arriving.rs
+++ b/crates/citronway-core/src/dispatch/arriving.rs
@@ -16,7 +16,7 @@
 use crate::time::Wall;
 
 /// Shortest retry-after time, in milliseconds.
-const LEAST_RETRY_MS: u64 = 10;
+const MIN_RETRY_MS: u64 = 10;
 
 impl Dispatcher {
     pub(super) fn on_submit(
@@ -144,7 +144,7 @@
     fn drain_ms(&self) -> u64 {
         let work_ms = self.queue.work_ms(&self.service_times) + self.running_ms();
         let ms = work_ms / u64::from(self.limit.slots());
-        ms.max(LEAST_RETRY_MS)
+        ms.max(MIN_RETRY_MS)
     }
 
     /// Why no new request for the shard is accepted; `None` if it is open.
@@ -175,7 +175,7 @@
 
     fn enqueue(&mut self, waiting: QueuedRequest, fingerprint: Fingerprint) {
         if waiting.request.repeat == Repeat::NonIdempotent {
-            self.duplicates.take(waiting.request.id, fingerprint);
+            self.duplicates.register(waiting.request.id, fingerprint);
         }
         self.queue.push(waiting);
     }
@@ -184,7 +184,7 @@
     fn wait_for(&mut self, origin: Ticket, request: &Request) {
         let id = request.id;
         if self.waiters.len_of(id) >= self.cfg.max_waiters {
-            return self.reply(origin, running_elsewhere());
+            return self.reply(origin, duplicate_timeout());
         }
         let deadline = request.deadline;
         self.waiters.add(id, Waiter { origin, deadline });
@@ -205,7 +205,7 @@
 
 /// Outcome for a duplicate that stops waiting before the outcome is known. The
 /// request it repeats may still run, so `not run` would be wrong.
-pub(super) const fn running_elsewhere() -> Outcome {
+pub(super) const fn duplicate_timeout() -> Outcome {
     Outcome::MayHaveRun(MayHaveRun {
         reason: MayHaveRunReason::Timeout,
         retry_after_ms: 0,
--- a/crates/citronway-core/src/dispatch/duplicates.rs
+++ b/crates/citronway-core/src/dispatch/duplicates.rs
@@ -31,7 +31,7 @@
     },
     /// The same request is waiting or running.
     Pending,
-    /// Its outcome is known.
+    /// The outcome is known.
     Settled(Outcome),
     /// The request is invalid.
     Fault(RequestFault),
@@ -56,9 +56,9 @@
 }
 
 /// Maximum number of ids in a handover, so that it fits into one message.
-const EXPORTED_IDS: usize = 16_384;
+const MAX_EXPORTED_IDS: usize = 16_384;
 /// Maximum size of the answer bodies in a handover, in bytes.
-const EXPORTED_ANSWER_BYTES: usize = 1 << 20;
+const MAX_EXPORTED_ANSWER_BYTES: usize = 1 << 20;
 
 /// Deduplication table of one dispatcher.
 #[derive(Debug)]
@@ -138,7 +138,7 @@
     }
 
     /// Adds the id of a request that [`Self::check`] found new.
-    pub fn take(&mut self, id: RequestId, fingerprint: Fingerprint) {
+    pub fn register(&mut self, id: RequestId, fingerprint: Fingerprint) {
         let known = Known {
             fingerprint: Some(fingerprint),
             state: State::Pending,
@@ -171,7 +171,7 @@
 
     /// Raises the floor to the start of the window and drops the ids below it.
     pub fn pass_time(&mut self, now: Wall) {
-        self.raise(now.minus(self.window_ms));
+        self.raise_floor(now.minus(self.window_ms));
         while let Some((&id, known)) = self.known.first_key_value() {
             let old = id.created().is_none_or(|created| created < self.floor);
             if !old || matches!(known.state, State::Pending) {
@@ -188,9 +188,9 @@
     pub fn export(&self) -> KnownRequests {
         let mut requests = Vec::new();
         let mut floor = self.floor;
-        let mut room = EXPORTED_ANSWER_BYTES;
+        let mut room = MAX_EXPORTED_ANSWER_BYTES;
         for (&id, known) in self.known.iter().rev() {
-            if requests.len() == EXPORTED_IDS {
+            if requests.len() == MAX_EXPORTED_IDS {
                 floor = floor.max(id.created().unwrap_or_default().plus(1));
                 break;
             }
@@ -221,7 +221,7 @@
     /// its request is not kept: a request with the same id could not be compared
     /// with the one that was answered.
     pub fn import(&mut self, known: &KnownRequests) {
-        self.raise(known.floor);
+        self.raise_floor(known.floor);
         for req in &known.requests {
             let state = match &req.outcome {
                 Some(Outcome::NotRun(_)) => continue,
@@ -248,11 +248,11 @@
         match known.state {
             State::Pending => Verdict::Pending,
             State::MayHaveRun(may) => Verdict::Settled(Outcome::MayHaveRun(may)),
-            State::Answered => Verdict::Settled(self.kept(id)),
+            State::Answered => Verdict::Settled(self.answer_outcome(id)),
         }
     }
 
-    fn kept(&self, id: RequestId) -> Outcome {
+    fn answer_outcome(&self, id: RequestId) -> Outcome {
         let Some(answer) = self.answers.get(id) else {
             return Outcome::MayHaveRun(MayHaveRun {
                 reason: MayHaveRunReason::AnswerGone,
@@ -289,14 +289,14 @@
             return false;
         }
         if let Some(created) = id.created() {
-            self.raise(created.plus(1));
+            self.raise_floor(created.plus(1));
         }
         self.known.remove(&id);
         self.answers.forget(id);
         true
     }
 
-    fn raise(&mut self, floor: Wall) {
+    fn raise_floor(&mut self, floor: Wall) {
         self.floor = self.floor.max(floor);
     }
 }
--- a/crates/citronway-core/src/dispatch/granting.rs
+++ b/crates/citronway-core/src/dispatch/granting.rs
@@ -23,7 +23,7 @@
                     self.limit.on_cold_start();
                 }
                 if before == Reach::Unreachable {
-                    self.on_back();
+                    self.on_reachable_again();
                 }
                 self.on_grant_answered(ticket, stale_epoch, turn);
             }
@@ -35,13 +35,13 @@
     /// running orders allow.
     pub(super) fn release_shards(&mut self, turn: Turn) {
         let bounds = self.bounds();
-        for part in self.grants.stop_moving(turn.now.wall, bounds) {
-            self.give_up_range(&part);
+        for range in self.grants.stop_moving(turn.now.wall, bounds) {
+            self.give_up_range(&range);
         }
         let slots = &self.slots;
         let released = self
             .grants
-            .pass_time(turn.now.wall, bounds, |part| slots.has_order_in(part));
+            .pass_time(turn.now.wall, bounds, |range| slots.has_order_in(range));
         if released {
             self.next_report = turn.now.mono;
         }
@@ -78,7 +78,7 @@
         let end = turn.now.wall.plus(self.cfg.bounded_grant_ms());
         let ticket = self.ticket();
         self.grants.on_grant_sent(ticket, end, &shards);
-        let grant = self.grant(end, shards);
+        let grant = self.grant_message(end, shards);
         self.out.push(DispatchAction::Grant { ticket, grant });
     }
 
@@ -89,11 +89,11 @@
         }
         let ticket = self.ticket();
         self.grants.on_revocation_sent(ticket, &shards);
-        let grant = self.grant(Wall(0), shards);
+        let grant = self.grant_message(Wall(0), shards);
         self.out.push(DispatchAction::Revoke { ticket, grant });
     }
 
-    fn grant(&self, end: Wall, shards: Vec<GrantedShard>) -> Grant {
+    fn grant_message(&self, end: Wall, shards: Vec<GrantedShard>) -> Grant {
         Grant {
             dispatch_epoch: self.epoch,
             dispatcher: self.session.clone(),
@@ -104,7 +104,7 @@
 
     fn on_grant_answered(&mut self, ticket: Ticket, stale_epoch: bool, turn: Turn) {
         if stale_epoch {
-            self.grants.refused(ticket);
+            self.grants.on_stale_epoch(ticket);
             self.out.push(DispatchAction::Superseded);
             self.give_up_all(NotRunReason::NotDispatcher);
             return;
@@ -128,7 +128,7 @@
         }
     }
 
-    fn on_back(&mut self) {
+    fn on_reachable_again(&mut self) {
         self.quiet = false;
         self.limit.on_cold_start();
         self.out.push(DispatchAction::EndpointBack);
--- a/crates/citronway-core/src/dispatch/grants.rs
+++ b/crates/citronway-core/src/dispatch/grants.rs
@@ -144,11 +144,14 @@
     /// Time of the last order under any shard that has keys in common with this
     /// one; zero if there was none.
     fn last_sent_overlapping(&self, owned: &OwnedShard) -> Wall {
-        let near = self
+        let overlapping = self
             .shards
             .values()
             .filter(|held| held.owned.overlaps(owned));
-        near.map(|held| held.last_sent).max().unwrap_or_default()
+        overlapping
+            .map(|held| held.last_sent)
+            .max()
+            .unwrap_or_default()
     }
 
     /// Whether an order for the shard may be sent now. The grant must have been
@@ -249,7 +252,7 @@
 
     /// Handles a grant or revocation that the endpoint refused because of a stale
     /// epoch: it has no effect, now or later.
-    pub fn refused(&mut self, ticket: Ticket) {
+    pub fn on_stale_epoch(&mut self, ticket: Ticket) {
         self.sent.take(ticket);
     }
 
@@ -284,8 +287,8 @@
         if !bounds.checks_orders || self.latest_end == Wall(0) {
             return bounds.inherited_until;
         }
-        let own = self.latest_end.plus(bounds.skew_ms);
-        own.max(bounds.inherited_until)
+        let own_end = self.latest_end.plus(bounds.skew_ms);
+        own_end.max(bounds.inherited_until)
     }
 
     /// Releases every shard under its present epoch, save those that are busy: a
@@ -409,7 +412,7 @@
         if !bounds.checks_orders {
             return bounds.inherited_until;
         }
-        let own = self.latest_end.plus(bounds.skew_ms);
-        own.max(bounds.inherited_until)
+        let own_end = self.latest_end.plus(bounds.skew_ms);
+        own_end.max(bounds.inherited_until)
     }
 }
--- a/crates/citronway-core/src/dispatch/health.rs
+++ b/crates/citronway-core/src/dispatch/health.rs
@@ -19,9 +19,9 @@
 #[derive(Debug)]
 pub struct Health {
     reach: Reach,
-    fails: u32,
-    answered: Mono,
-    newest: Ticket,
+    consecutive_failures: u32,
+    last_answered: Mono,
+    newest_ticket: Ticket,
     draining: bool,
     stale: bool,
     cold: bool,
@@ -34,9 +34,9 @@
     pub const fn new(now: Mono) -> Self {
         Self {
             reach: Reach::Healthy,
-            fails: 0,
-            answered: now,
-            newest: 0,
+            consecutive_failures: 0,
+            last_answered: now,
+            newest_ticket: 0,
             draining: false,
             stale: false,
             cold: false,
@@ -71,7 +71,7 @@
     /// Whether the last probe failed.
     #[must_use]
     pub const fn has_failed_probe(&self) -> bool {
-        self.fails > 0
+        self.consecutive_failures > 0
     }
 
     /// Number of running orders that the endpoint reports; `None` before the
@@ -95,23 +95,22 @@
         now: Mono,
     ) {
         match *report {
-            ProbeReport::Failed => self.failed(cfg, now),
+            ProbeReport::Failed => self.on_failure(cfg, now),
             ProbeReport::Answered {
                 stale_epoch,
                 draining,
                 running,
                 cold,
             } => {
-                self.fails = 0;
+                self.consecutive_failures = 0;
                 self.reach = Reach::Healthy;
-                self.answered = now;
+                self.last_answered = now;
                 // Reports can arrive out of order. An older one, from before
                 // the endpoint began to drain, must not end the drain.
-                
-                if ticket < self.newest {
+                if ticket < self.newest_ticket {
                     return;
                 }
-                self.newest = ticket;
+                self.newest_ticket = ticket;
                 self.draining = draining;
                 self.stale = stale_epoch;
                 self.cold = cold;
@@ -120,10 +119,10 @@
         }
     }
 
-    const fn failed(&mut self, cfg: &DispatchSettings, now: Mono) {
-        self.fails = self.fails.saturating_add(1);
-        let long = now.since(self.answered) >= cfg.lost_after_ms;
-        if long && self.fails >= cfg.lost_after_fails {
+    const fn on_failure(&mut self, cfg: &DispatchSettings, now: Mono) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        let long = now.since(self.last_answered) >= cfg.lost_after_ms;
+        if long && self.consecutive_failures >= cfg.lost_after_fails {
             self.reach = Reach::Unreachable;
             return;
         }
--- a/crates/citronway-core/src/dispatch/machine.rs
+++ b/crates/citronway-core/src/dispatch/machine.rs
@@ -138,8 +138,8 @@
     }
 
     fn on_shards(&mut self, shards: &[OwnedShard]) {
-        for part in self.grants.set_owned_shards(shards) {
-            self.give_up_range(&part);
+        for range in self.grants.set_owned_shards(shards) {
+            self.give_up_range(&range);
         }
         for owned in shards {
             if owned.is_hot() {
@@ -150,8 +150,8 @@
 
     /// Answers the queued requests for these keys as not run: the instances that
     /// accepted them look up the keys' present owner.
-    pub(super) fn give_up_range(&mut self, part: &KeyRange) {
-        for waiting in self.queue.drain_range(part) {
+    pub(super) fn give_up_range(&mut self, range: &KeyRange) {
+        for waiting in self.queue.drain_range(range) {
             self.give_up(&waiting, NotRunReason::Moving);
         }
     }
--- a/crates/citronway-core/src/dispatch/message.rs
+++ b/crates/citronway-core/src/dispatch/message.rs
@@ -175,16 +175,16 @@
 pub enum DispatchAction {
     /// Send the final outcome of a request to its caller.
     Reply {
-    /// Ticket of the submission.
+        /// Ticket of the submission.
         origin: Ticket,
         /// The outcome.
         outcome: Outcome,
     },
     /// Answer the caller, finally, that the request is invalid.
     Reject {
-    /// Ticket of the submission.
-    origin: Ticket,
-    /// Fault of the request.
+        /// Ticket of the submission.
+        origin: Ticket,
+        /// Fault of the request.
         fault: RequestFault,
     },
     /// Send an order to the endpoint.
--- a/crates/citronway-core/src/dispatch/pace.rs
+++ b/crates/citronway-core/src/dispatch/pace.rs
@@ -7,10 +7,10 @@
 use crate::time::Mono;
 
 /// Divisor of the latest interval's weight in the moving average.
-const WEIGHT: u64 = 8;
+const WEIGHT_DIVISOR: u64 = 8;
 
 /// Microseconds in a millisecond.
-const US: u64 = 1_000;
+const US_PER_MS: u64 = 1_000;
 
 /// Mean interval between two requests of one class that leave the queue.
 #[derive(Debug, Default)]
@@ -25,9 +25,9 @@
     /// queued.
     pub fn served(&mut self, now: Mono, waiting: bool) {
         if let Some(last) = self.last {
-            let us = now.since(last) * US;
+            let us = now.since(last) * US_PER_MS;
             let old = self.mean_us.unwrap_or(us);
-            self.mean_us = Some((old * (WEIGHT - 1) + us) / WEIGHT);
+            self.mean_us = Some((old * (WEIGHT_DIVISOR - 1) + us) / WEIGHT_DIVISOR);
         }
         self.last = waiting.then_some(now);
     }
@@ -39,6 +39,6 @@
         if self.last.is_none() {
             return 0;
         }
-        self.mean_us.unwrap_or(0) * requests / US
+        self.mean_us.unwrap_or(0) * requests / US_PER_MS
     }
 }
--- a/crates/citronway-core/src/dispatch/queue.rs
+++ b/crates/citronway-core/src/dispatch/queue.rs
@@ -22,7 +22,7 @@
 /// A request in the queue.
 #[derive(Debug, Clone)]
 pub struct QueuedRequest {
-    /// Whom to reply to.
+    /// Ticket of the submission, for the reply.
     pub origin: Ticket,
     /// The request.
     pub request: Request,
@@ -51,8 +51,8 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Place {
-    lane: usize,
+struct Position {
+    class_index: usize,
     rank: Rank,
 }
 
@@ -63,7 +63,7 @@
     class: ClassName,
     priority: u8,
     share: KeptShare,
-    pace: ServiceInterval,
+    interval: ServiceInterval,
     waiting: BTreeMap<Rank, QueuedRequest>,
 }
 
@@ -72,7 +72,7 @@
 pub struct Queue {
     /// By priority, highest first.
     class_queues: Vec<ClassQueue>,
-    places: IndexMap<Ticket, Place>,
+    positions: IndexMap<Ticket, Position>,
     by_key: IndexMap<KeyRef, usize>,
     arrivals: u64,
 }
@@ -90,23 +90,23 @@
     /// Time until its own class has been served this far at the present service
     /// interval, in milliseconds; 0 for the first class, or if the interval is
     /// not known.
-    pub pace_ms: u64,
+    pub interval_wait_ms: u64,
     /// Kept share of its class, in hundredths.
     pub kept_share: u8,
 }
 
 impl Queue {
-    /// An empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(classes: &IndexMap<ClassName, Class>) -> Self {
-        let mut lanes: Vec<_> = classes
+        let mut class_queues: Vec<_> = classes
             .iter()
             .map(|(name, class)| ClassQueue::new(name, class))
             .collect();
-        lanes.sort_by(|a, b| (a.priority, &a.class).cmp(&(b.priority, &b.class)));
+        class_queues.sort_by(|a, b| (a.priority, &a.class).cmp(&(b.priority, &b.class)));
         Self {
-            class_queues: lanes,
-            places: IndexMap::new(),
+            class_queues,
+            positions: IndexMap::new(),
             by_key: IndexMap::new(),
             arrivals: 0,
         }
@@ -115,13 +115,13 @@
     /// Number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     /// Whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
     /// Number of queued requests of one key.
@@ -134,27 +134,27 @@
     #[must_use]
     pub fn ahead_of(&self, class: &ClassName, deadline: Wall, times: &ServiceTimes) -> WorkAhead {
         let mut ahead = WorkAhead::default();
-        for (index, lane) in self.class_queues.iter().enumerate() {
-            if lane.class == *class {
+        for (index, queue) in self.class_queues.iter().enumerate() {
+            if queue.class == *class {
                 let rank = Rank {
                     deadline,
                     arrival: self.arrivals,
                 };
-                let own = lane.waiting.range(..rank).count() as u64;
+                let own = queue.waiting.range(..rank).count() as u64;
                 ahead.own_ms = own * times.ms(class);
                 // No class overtakes the first one; its service interval
                 // only adds noise.
                 if index > 0 {
-                    ahead.pace_ms = lane.pace.wait_ms(own + 1);
+                    ahead.interval_wait_ms = queue.interval.wait_ms(own + 1);
                 }
-                ahead.kept_share = lane.share.hundredths();
+                ahead.kept_share = queue.share.hundredths();
                 ahead.requests += own;
                 ahead.total_ms += ahead.own_ms;
                 break;
             }
-            let better = lane.waiting.len() as u64;
+            let better = queue.waiting.len() as u64;
             ahead.requests += better;
-            ahead.total_ms += better * times.ms(&lane.class);
+            ahead.total_ms += better * times.ms(&queue.class);
         }
         ahead
     }
@@ -163,15 +163,15 @@
     #[must_use]
     pub fn work_ms(&self, times: &ServiceTimes) -> u64 {
         let mut work_ms = 0;
-        for lane in &self.class_queues {
-            work_ms += lane.waiting.len() as u64 * times.ms(&lane.class);
+        for queue in &self.class_queues {
+            work_ms += queue.waiting.len() as u64 * times.ms(&queue.class);
         }
         work_ms
     }
 
     /// Adds a request. The caller has checked the limits of the queue.
     pub fn push(&mut self, waiting: QueuedRequest) {
-        let index = self.lane_of(&waiting.request.class);
+        let index = self.class_index(&waiting.request.class);
         if index == self.class_queues.len() {
             self.class_queues
                 .push(ClassQueue::unknown(waiting.request.class.clone()));
@@ -182,25 +182,33 @@
         };
         self.arrivals += 1;
         *self.by_key.entry(waiting.key()).or_insert(0) += 1;
-        self.places
-            .insert(waiting.origin, Place { lane: index, rank });
+        self.positions.insert(
+            waiting.origin,
+            Position {
+                class_index: index,
+                rank,
+            },
+        );
         self.class_queues[index].waiting.insert(rank, waiting);
     }
 
     /// Id of the queued request of an origin; `None` if there is none.
     #[must_use]
     pub fn id_of(&self, origin: Ticket) -> Option<RequestId> {
-        let place = self.places.get(&origin)?;
-        let waiting = self.class_queues[place.lane].waiting.get(&place.rank)?;
+        let position = self.positions.get(&origin)?;
+        let waiting = self.class_queues[position.class_index]
+            .waiting
+            .get(&position.rank)?;
         Some(waiting.request.id)
     }
 
     /// Whether a request with this id is queued.
     #[must_use]
     pub fn contains(&self, id: RequestId) -> bool {
-        let mut lanes = self.class_queues.iter();
-        lanes.any(|lane| {
-            lane.waiting
+        let mut class_queues = self.class_queues.iter();
+        class_queues.any(|queue| {
+            queue
+                .waiting
                 .values()
                 .any(|waiting| waiting.request.id == id)
         })
@@ -208,8 +216,8 @@
 
     /// Removes and returns the request of an origin; `None` if there is none.
     pub fn remove(&mut self, origin: Ticket) -> Option<QueuedRequest> {
-        let place = self.places.get(&origin).copied()?;
-        self.take(place)
+        let position = self.positions.get(&origin).copied()?;
+        self.take(position)
     }
 
     /// Removes and returns every request whose deadline has come.
@@ -220,7 +228,10 @@
                 if rank.deadline > now {
                     break;
                 }
-                expired.extend(self.take(Place { lane: index, rank }));
+                expired.extend(self.take(Position {
+                    class_index: index,
+                    rank,
+                }));
             }
         }
         expired
@@ -228,46 +239,50 @@
 
     /// Empties the queue and returns its requests.
     pub fn drain(&mut self) -> Vec<QueuedRequest> {
-        let mut all = Vec::with_capacity(self.places.len());
-        for lane in &mut self.class_queues {
-            all.extend(std::mem::take(&mut lane.waiting).into_values());
+        let mut all = Vec::with_capacity(self.positions.len());
+        for queue in &mut self.class_queues {
+            all.extend(std::mem::take(&mut queue.waiting).into_values());
         }
-        self.places.clear();
+        self.positions.clear();
         self.by_key.clear();
         all
     }
 
     /// Removes and returns the requests for keys of a range.
-    pub fn drain_range(&mut self, part: &KeyRange) -> Vec<QueuedRequest> {
-        let mut places = Vec::new();
-        for (index, lane) in self.class_queues.iter().enumerate() {
-            for (&rank, waiting) in &lane.waiting {
-                if part.has(&waiting.key()) {
-                    places.push(Place { lane: index, rank });
+    pub fn drain_range(&mut self, range: &KeyRange) -> Vec<QueuedRequest> {
+        let mut positions = Vec::new();
+        for (index, queue) in self.class_queues.iter().enumerate() {
+            for (&rank, waiting) in &queue.waiting {
+                if range.has(&waiting.key()) {
+                    positions.push(Position {
+                        class_index: index,
+                        rank,
+                    });
                 }
             }
         }
-        places.into_iter().filter_map(|p| self.take(p)).collect()
+        positions.into_iter().filter_map(|p| self.take(p)).collect()
     }
 
     /// Whether a request for a key of the range is queued under another shard
     /// than `at`.
     #[must_use]
-    pub fn has_under_other_shard(&self, part: &KeyRange, at: &ShardRef) -> bool {
-        let mut lanes = self.class_queues.iter();
-        lanes.any(|lane| {
-            let mut waiting = lane.waiting.values();
-            waiting.any(|waiting| waiting.at != *at && part.has(&waiting.key()))
+    pub fn has_under_other_shard(&self, range: &KeyRange, at: &ShardRef) -> bool {
+        let mut class_queues = self.class_queues.iter();
+        class_queues.any(|queue| {
+            let mut waiting = queue.waiting.values();
+            waiting.any(|waiting| waiting.at != *at && range.has(&waiting.key()))
         })
     }
 
     /// Updates the kept shares. `running` returns the number of slots that a
     /// class uses, `limit` is the number of slots that may be used.
     pub fn pass_time(&mut self, now: Mono, limit: u32, running: impl Fn(&ClassName) -> u32) {
-        for lane in &mut self.class_queues {
-            let held = running(&lane.class);
-            lane.share
-                .pass_time(now, limit, held, !lane.waiting.is_empty());
+        for queue in &mut self.class_queues {
+            let used = running(&queue.class);
+            queue
+                .share
+                .pass_time(now, limit, used, !queue.waiting.is_empty());
         }
     }
 
@@ -278,42 +293,47 @@
         now: Mono,
         fit: impl Fn(&QueuedRequest) -> bool,
     ) -> Option<QueuedRequest> {
-        let place = self.next_place(&fit)?;
-        let waiting = self.take(place)?;
-        let lane = &mut self.class_queues[place.lane];
-        lane.pace.served(now, !lane.waiting.is_empty());
+        let position = self.next_position(&fit)?;
+        let waiting = self.take(position)?;
+        let queue = &mut self.class_queues[position.class_index];
+        queue.interval.served(now, !queue.waiting.is_empty());
         Some(waiting)
     }
 
     /// Position of the next fit request: that of the class with the largest
     /// deficit in its kept share, else that of the class with the highest priority.
-    fn next_place(&self, fit: &impl Fn(&QueuedRequest) -> bool) -> Option<Place> {
-        let mut best: Option<Place> = None;
-        let mut neediest = 0;
-        for (index, lane) in self.class_queues.iter().enumerate() {
-            let owed = lane.share.deficit();
-            if best.is_some() && owed <= neediest {
+    fn next_position(&self, fit: &impl Fn(&QueuedRequest) -> bool) -> Option<Position> {
+        let mut selected: Option<Position> = None;
+        let mut largest_deficit = 0;
+        for (index, queue) in self.class_queues.iter().enumerate() {
+            let deficit = queue.share.deficit();
+            if selected.is_some() && deficit <= largest_deficit {
                 continue;
             }
-            let Some(rank) = lane.first_fit(fit) else {
+            let Some(rank) = queue.first_fit(fit) else {
                 continue;
             };
-            best = Some(Place { lane: index, rank });
-            neediest = neediest.max(owed);
+            selected = Some(Position {
+                class_index: index,
+                rank,
+            });
+            largest_deficit = largest_deficit.max(deficit);
         }
-        best
+        selected
     }
 
-    fn lane_of(&self, class: &ClassName) -> usize {
+    fn class_index(&self, class: &ClassName) -> usize {
         self.class_queues
             .iter()
-            .position(|lane| lane.class == *class)
+            .position(|queue| queue.class == *class)
             .unwrap_or(self.class_queues.len())
     }
 
-    fn take(&mut self, place: Place) -> Option<QueuedRequest> {
-        let waiting = self.class_queues[place.lane].waiting.remove(&place.rank)?;
-        self.places.swap_remove(&waiting.origin);
+    fn take(&mut self, position: Position) -> Option<QueuedRequest> {
+        let waiting = self.class_queues[position.class_index]
+            .waiting
+            .remove(&position.rank)?;
+        self.positions.swap_remove(&waiting.origin);
         let key = waiting.key();
         if let Some(count) = self.by_key.get_mut(&key) {
             *count -= 1;
@@ -331,20 +351,19 @@
             class: name.clone(),
             priority: class.priority,
             share: KeptShare::new(class.kept_share),
-            pace: ServiceInterval::default(),
+            interval: ServiceInterval::default(),
             waiting: BTreeMap::new(),
         }
     }
 
     /// Queue of a class that this instance's configuration does not have yet.
     /// It has the lowest priority.
-    
     fn unknown(class: ClassName) -> Self {
         Self {
             class,
             priority: u8::MAX,
             share: KeptShare::new(0),
-            pace: ServiceInterval::default(),
+            interval: ServiceInterval::default(),
             waiting: BTreeMap::new(),
         }
     }
--- a/crates/citronway-core/src/dispatch/replay.rs
+++ b/crates/citronway-core/src/dispatch/replay.rs
@@ -39,25 +39,25 @@
 pub enum Decision {
     /// A final outcome.
     Reply {
-    /// Ticket of the submission.
+        /// Ticket of the submission.
         origin: Ticket,
         /// The outcome.
         outcome: Outcome,
     },
     /// A final refusal of an invalid request.
     Reject {
-    /// Ticket of the submission.
-    origin: Ticket,
-    /// Fault of the request.
+        /// Ticket of the submission.
+        origin: Ticket,
+        /// Fault of the request.
         fault: RequestFault,
     },
     /// An order.
     Order {
-    /// Ticket of the order.
-    ticket: Ticket,
-    /// Id of the request.
-    id: RequestId,
-    /// Deadline of the order.
+        /// Ticket of the order.
+        ticket: Ticket,
+        /// Id of the request.
+        id: RequestId,
+        /// Deadline of the order.
         deadline: Wall,
     },
     /// A cancellation.
@@ -76,9 +76,9 @@
     },
     /// A revocation.
     Revoke {
-    /// Ticket of the message.
-    ticket: Ticket,
-    /// Revoked shards.
+        /// Ticket of the message.
+        ticket: Ticket,
+        /// Revoked shards.
         shards: Vec<ShardEpoch>,
     },
     /// A report that a shard is released.
@@ -139,11 +139,11 @@
             DispatchAction::Grant { ticket, grant } => Self::Grant {
                 ticket,
                 end: grant.end,
-                shards: names(&grant.shards),
+                shards: shard_epochs(&grant.shards),
             },
             DispatchAction::Revoke { ticket, grant } => Self::Revoke {
                 ticket,
-                shards: names(&grant.shards),
+                shards: shard_epochs(&grant.shards),
             },
             DispatchAction::ShardReleased { at, epoch, .. } => {
                 Self::Released(ShardEpoch { at, epoch })
@@ -155,6 +155,6 @@
     }
 }
 
-fn names(shards: &[GrantedShard]) -> Vec<ShardEpoch> {
+fn shard_epochs(shards: &[GrantedShard]) -> Vec<ShardEpoch> {
     shards.iter().map(shard_epoch).collect()
 }
--- a/crates/citronway-core/src/dispatch/reporting.rs
+++ b/crates/citronway-core/src/dispatch/reporting.rs
@@ -78,10 +78,10 @@
 
     /// Returns the load since the last call, for the planner, and resets it.
     pub fn take_load(&mut self) -> EndpointLoad {
-        let begun = std::mem::take(&mut self.sent_by_shard);
+        let sent_by_shard = std::mem::take(&mut self.sent_by_shard);
         let mut requests = 0;
-        let mut shards = Vec::with_capacity(begun.len());
-        for (at, count) in begun {
+        let mut shards = Vec::with_capacity(sent_by_shard.len());
+        for (at, count) in sent_by_shard {
             requests += count;
             shards.push(ShardLoad {
                 service: at.service,
@@ -112,7 +112,7 @@
     /// Reports lost endpoints and released shards to the planner. Reports are
     /// repeated, since one may be lost.
     pub(super) fn report(&mut self, turn: Turn) {
-        self.note_quiet(turn);
+        self.update_quiet(turn);
         if turn.now.mono < self.next_report {
             return;
         }
@@ -135,7 +135,7 @@
     }
 
     /// Sets `quiet` once no grant of a lost endpoint is live any more.
-    fn note_quiet(&mut self, turn: Turn) {
+    fn update_quiet(&mut self, turn: Turn) {
         if self.quiet || self.health.reach() != Reach::Unreachable {
             return;
         }
@@ -158,6 +158,6 @@
         let checks = self.endpoint.checks_orders;
         let slots = &self.slots;
         self.grants
-            .release_idle(|part| !checks && slots.has_order_in(part));
+            .release_idle(|range| !checks && slots.has_order_in(range));
     }
 }
--- a/crates/citronway-core/src/dispatch/sending.rs
+++ b/crates/citronway-core/src/dispatch/sending.rs
@@ -20,7 +20,7 @@
             return;
         }
         while self.has_slot(turn.now.wall) {
-            let Some(waiting) = self.pick(turn.now) else {
+            let Some(waiting) = self.next_request(turn.now) else {
                 break;
             };
             self.send(waiting, turn);
@@ -72,26 +72,26 @@
     /// - requests that will most likely miss their deadline. The earliest
     ///   deadline goes first, so under overload every request would be started
     ///   just too late, time out in its slot, and make the next one too late.
-    fn pick(&mut self, now: Now) -> Option<QueuedRequest> {
-        let most = self.limit.slots() * u32::from(self.cfg.key_share) / 100;
+    fn next_request(&mut self, now: Now) -> Option<QueuedRequest> {
+        let max_per_key = self.limit.slots() * u32::from(self.cfg.key_share) / 100;
         let grants = &self.grants;
         let slots = &self.slots;
         let times = &self.service_times;
         let ready = |waiting: &QueuedRequest| {
-            let in_time = waiting.not_before <= now.wall && waiting.request.deadline > now.wall;
-            in_time && grants.is_live(&waiting.at, now.wall)
+            let is_sendable = waiting.not_before <= now.wall && waiting.request.deadline > now.wall;
+            is_sendable && grants.is_live(&waiting.at, now.wall)
         };
-        let hopeful = |waiting: &QueuedRequest| {
+        let in_time_to_finish = |waiting: &QueuedRequest| {
             let done = now.wall.plus(times.ms(&waiting.request.class));
             ready(waiting) && done <= waiting.request.deadline
         };
-        let modest = |waiting: &QueuedRequest| {
-            hopeful(waiting) && slots.used_by_key(&waiting.key()) < most.max(1)
+        let within_key_share = |waiting: &QueuedRequest| {
+            in_time_to_finish(waiting) && slots.used_by_key(&waiting.key()) < max_per_key.max(1)
         };
-        if let Some(waiting) = self.queue.pop_fit(now.mono, modest) {
+        if let Some(waiting) = self.queue.pop_fit(now.mono, within_key_share) {
             return Some(waiting);
         }
-        if let Some(waiting) = self.queue.pop_fit(now.mono, hopeful) {
+        if let Some(waiting) = self.queue.pop_fit(now.mono, in_time_to_finish) {
             return Some(waiting);
         }
         self.queue.pop_fit(now.mono, ready)
--- a/crates/citronway-core/src/dispatch/sent_grants.rs
+++ b/crates/citronway-core/src/dispatch/sent_grants.rs
@@ -6,15 +6,15 @@
 use crate::node::events::{GrantedShard, Ticket};
 use crate::time::Wall;
 
-/// Unanswered revocations that are kept; beyond it the oldest is dropped.
-const MOST_REVOCATIONS: usize = 64;
+/// Maximum number of unanswered revocations; beyond it the oldest is dropped.
+const MAX_REVOCATIONS: usize = 64;
 
 /// Kind of a sent message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SentKind {
     /// A grant until `end`.
     Grant {
-        /// Its end.
+        /// End of the grant.
         end: Wall,
     },
     /// A revocation.
@@ -24,9 +24,9 @@
 /// An unanswered message.
 #[derive(Debug, Clone)]
 pub struct Sent {
-    /// Its kind.
+    /// Kind of the message.
     pub kind: SentKind,
-    /// Its shards with their epochs.
+    /// Shards of the message, with their epochs.
     pub shards: Vec<ShardEpoch>,
 }
 
@@ -34,32 +34,32 @@
 /// written and may still arrive.
 #[derive(Debug, Default)]
 pub struct SentGrants {
-    open: IndexMap<Ticket, Sent>,
+    unanswered: IndexMap<Ticket, Sent>,
 }
 
 impl SentGrants {
     /// Adds a sent message.
     pub fn add(&mut self, ticket: Ticket, kind: SentKind, shards: &[GrantedShard]) {
         let shards = shards.iter().map(shard_epoch).collect();
-        self.open.insert(ticket, Sent { kind, shards });
+        self.unanswered.insert(ticket, Sent { kind, shards });
         self.drop_revocations();
     }
 
     /// Removes and returns an answered message; `None` if it is not known.
     pub fn take(&mut self, ticket: Ticket) -> Option<Sent> {
-        self.open.shift_remove(&ticket)
+        self.unanswered.shift_remove(&ticket)
     }
 
     /// Whether an unanswered grant of the shard could still take effect at the
     /// endpoint.
     #[must_use]
     pub fn may_arrive(&self, at: &ShardRef, now: Wall, skew_ms: u64) -> bool {
-        for sent in self.open.values() {
+        for sent in self.unanswered.values() {
             let SentKind::Grant { end } = sent.kind else {
                 continue;
             };
-            let names = sent.shards.iter().any(|shard| shard.at == *at);
-            if names && end.plus(skew_ms) > now {
+            let has_shard = sent.shards.iter().any(|shard| shard.at == *at);
+            if has_shard && end.plus(skew_ms) > now {
                 return true;
             }
         }
@@ -68,7 +68,7 @@
 
     /// Drops grants that have ended.
     pub fn pass_time(&mut self, now: Wall, skew_ms: u64) {
-        self.open.retain(|_, sent| match sent.kind {
+        self.unanswered.retain(|_, sent| match sent.kind {
             SentKind::Grant { end } => end.plus(skew_ms) > now,
             SentKind::Revoke => true,
         });
@@ -76,19 +76,19 @@
 
     fn drop_revocations(&mut self) {
         let revocations = self
-            .open
+            .unanswered
             .values()
             .filter(|sent| sent.kind == SentKind::Revoke)
             .count();
-        if revocations <= MOST_REVOCATIONS {
+        if revocations <= MAX_REVOCATIONS {
             return;
         }
         let oldest = self
-            .open
+            .unanswered
             .iter()
             .find(|(_, sent)| sent.kind == SentKind::Revoke);
         if let Some((&ticket, _)) = oldest {
-            self.open.shift_remove(&ticket);
+            self.unanswered.shift_remove(&ticket);
         }
     }
 }
--- a/crates/citronway-core/src/dispatch/service.rs
+++ b/crates/citronway-core/src/dispatch/service.rs
@@ -9,13 +9,13 @@
 use crate::ids::ClassName;
 
 /// Microseconds in a millisecond.
-const US: u64 = 1_000;
+const US_PER_MS: u64 = 1_000;
 
 /// Divisor of the latest order's weight in the short moving average.
-const SHORT: u64 = 8;
+const SHORT_DIVISOR: u64 = 8;
 
 /// Divisor of the latest order's weight in the long moving average.
-const LONG: u64 = 128;
+const LONG_DIVISOR: u64 = 128;
 
 /// Ratio of the short mean to the long one above which a class is slow.
 const SLOW_RATIO: u64 = 2;
@@ -43,7 +43,7 @@
     #[must_use]
     pub fn new(first_ms: u64) -> Self {
         Self {
-            first_us: first_ms.max(1) * US,
+            first_us: first_ms.max(1) * US_PER_MS,
             by_class: IndexMap::new(),
             all: None,
         }
@@ -51,12 +51,12 @@
 
     /// Records the service time of an answered order, in milliseconds.
     pub fn record(&mut self, class: &ClassName, took_ms: u64) {
-        let took_us = took_ms * US;
+        let took_us = took_ms * US_PER_MS;
         let all = self.all.get_or_insert(Means::first(took_us));
-        all.learn(took_us);
+        all.record(took_us);
         let first = Means::first(took_us);
         let means = self.by_class.entry(class.clone()).or_insert(first);
-        means.learn(took_us);
+        means.record(took_us);
     }
 
     /// Short-term mean service time of a class, in milliseconds, at least 1.
@@ -65,14 +65,14 @@
     pub fn ms(&self, class: &ClassName) -> u64 {
         let means = self.by_class.get(class).or(self.all.as_ref());
         let us = means.map_or(self.first_us, |means| means.short_us);
-        us.div_ceil(US).max(1)
+        us.div_ceil(US_PER_MS).max(1)
     }
 
     /// Short-term mean service time of all classes, in milliseconds, at least 1.
     #[must_use]
     pub fn mean_ms(&self) -> u64 {
         let us = self.all.map_or(self.first_us, |means| means.short_us);
-        us.div_ceil(US).max(1)
+        us.div_ceil(US_PER_MS).max(1)
     }
 
     /// Whether orders of a class take much longer than they used to.
@@ -94,12 +94,12 @@
         }
     }
 
-    const fn learn(&mut self, took_us: u64) {
-        self.short_us = mean(self.short_us, took_us, SHORT);
-        self.long_us = mean(self.long_us, took_us, LONG);
+    const fn record(&mut self, took_us: u64) {
+        self.short_us = mean(self.short_us, took_us, SHORT_DIVISOR);
+        self.long_us = mean(self.long_us, took_us, LONG_DIVISOR);
     }
 }
 
-const fn mean(old: u64, new: u64, weight: u64) -> u64 {
-    (old * (weight - 1) + new) / weight
+const fn mean(old: u64, new: u64, divisor: u64) -> u64 {
+    (old * (divisor - 1) + new) / divisor
 }
--- a/crates/citronway-core/src/dispatch/settling.rs
+++ b/crates/citronway-core/src/dispatch/settling.rs
@@ -1,6 +1,6 @@
 //! Final outcomes of requests: answers, refusals, cancellations, expiry.
 
-use super::arriving::running_elsewhere;
+use super::arriving::duplicate_timeout;
 use super::machine::Dispatcher;
 use super::message::Turn;
 use super::queue::QueuedRequest;
@@ -17,16 +17,16 @@
                 let Some(order) = self.slots.free(ticket) else {
                     return;
                 };
-                self.learn(&order, turn);
+                self.record_service_time(&order, turn);
                 self.settle(&order, Outcome::Answered(answer));
             }
             OrderReply::Refused { reason } => self.on_refused(ticket, reason, turn),
             OrderReply::NotSent => {
                 self.settle_not_run(ticket, NotRunReason::EndpointUnreachable);
             }
-            OrderReply::Lost => self.unresolved(ticket, MayHaveRunReason::ConnectionLost, turn),
-            OrderReply::Foreign => self.unresolved(ticket, MayHaveRunReason::BadAnswer, turn),
-            OrderReply::Timeout => self.unresolved(ticket, MayHaveRunReason::Timeout, turn),
+            OrderReply::Lost => self.on_unresolved(ticket, MayHaveRunReason::ConnectionLost, turn),
+            OrderReply::Foreign => self.on_unresolved(ticket, MayHaveRunReason::BadAnswer, turn),
+            OrderReply::Timeout => self.on_unresolved(ticket, MayHaveRunReason::Timeout, turn),
         }
     }
 
@@ -48,7 +48,7 @@
     pub(super) fn expire(&mut self, turn: Turn) {
         let now = turn.now.wall;
         for waiter in self.waiters.expire(now) {
-            self.reply(waiter.origin, running_elsewhere());
+            self.reply(waiter.origin, duplicate_timeout());
         }
         for waiting in self.queue.expire(now) {
             self.give_up(&waiting, NotRunReason::Expired);
@@ -56,7 +56,7 @@
         // The transport may never report an order's outcome. The caller must
         // still get an answer, so the deadline is checked here too.
         for ticket in self.slots.overdue(now) {
-            self.unresolved(ticket, MayHaveRunReason::Timeout, turn);
+            self.on_unresolved(ticket, MayHaveRunReason::Timeout, turn);
         }
         for ticket in self.slots.expired(now, self.cfg.skew_ms) {
             self.slots.free(ticket);
@@ -67,7 +67,7 @@
     pub(super) fn give_up(&mut self, waiting: &QueuedRequest, reason: NotRunReason) {
         let outcome = Outcome::NotRun(NotRun::new(reason, self.retry_after_ms(reason)));
         let req = &waiting.request;
-        self.conclude(waiting.origin, req.id, req.repeat, outcome);
+        self.reply_to_all(waiting.origin, req.id, req.repeat, outcome);
     }
 
     /// Empties the queue and answers every request in it as not run.
@@ -77,7 +77,7 @@
         }
     }
 
-    fn learn(&mut self, order: &Order, turn: Turn) {
+    fn record_service_time(&mut self, order: &Order, turn: Turn) {
         let now = turn.now.mono;
         self.service_times
             .record(&order.class, now.since(order.sent));
@@ -116,7 +116,7 @@
 
     /// Marks an order whose outcome is unknown. Its caller is answered at once;
     /// its slot stays occupied, see [`super::slots::Slots`].
-    fn unresolved(&mut self, ticket: Ticket, reason: MayHaveRunReason, turn: Turn) {
+    fn on_unresolved(&mut self, ticket: Ticket, reason: MayHaveRunReason, turn: Turn) {
         let Some(order) = self.slots.get_mut(ticket) else {
             return;
         };
@@ -149,12 +149,11 @@
     }
 
     fn settle_running(&mut self, order: &Order, outcome: Outcome) {
-        self.conclude(order.origin, order.id, order.repeat, outcome);
+        self.reply_to_all(order.origin, order.id, order.repeat, outcome);
     }
 
     /// Sends an outcome to the caller and to all duplicates that wait for it.
-    
-    fn conclude(&mut self, origin: Ticket, id: RequestId, repeat: Repeat, outcome: Outcome) {
+    fn reply_to_all(&mut self, origin: Ticket, id: RequestId, repeat: Repeat, outcome: Outcome) {
         if repeat == Repeat::NonIdempotent {
             self.duplicates.settle(id, &outcome);
             for waiter in self.waiters.take(id) {
--- a/crates/citronway-core/src/dispatch/share.rs
+++ b/crates/citronway-core/src/dispatch/share.rs
@@ -6,16 +6,15 @@
 
 use crate::time::Mono;
 
-/// Upper bound on the slot time that a class is over its share, as the time in
-/// which its share makes up for it, in milliseconds.
-const LONGEST_DEBT_MS: i64 = 1_000;
+/// Maximum excess slot time of a class, in milliseconds of its share: after this
+/// time without service it is no longer over its share.
+const MAX_OVERUSE_MS: i64 = 1_000;
 
-/// Upper bound on the slot time that a class is owed, as the time in which its
-/// share amounts to it, in milliseconds.
-const LONGEST_CREDIT_MS: i64 = 1_000;
+/// Maximum slot time owed to a class, in milliseconds of its share.
+const MAX_CREDIT_MS: i64 = 1_000;
 
 /// Whole share, in hundredths.
-const WHOLE: i64 = 100;
+const WHOLE_HUNDREDTHS: i64 = 100;
 
 /// Balance of one class: slot time due to it minus slot time used by it.
 #[derive(Debug, Clone)]
@@ -51,9 +50,9 @@
         if self.balance > 0 { self.balance } else { 0 }
     }
 
-    /// Counts the time since the last call, during which the class used `held`
+    /// Counts the time since the last call, during which the class used `used`
     /// slots out of `limit`. A class without `waiting` requests is owed nothing.
-    pub fn pass_time(&mut self, now: Mono, limit: u32, held: u32, waiting: bool) {
+    pub fn pass_time(&mut self, now: Mono, limit: u32, used: u32, waiting: bool) {
         let since = self.counted_until.unwrap_or(now);
         let passed = i64::try_from(now.since(since)).unwrap_or(i64::MAX);
         self.counted_until = Some(since.max(now));
@@ -61,9 +60,12 @@
             return;
         }
         let due = i64::from(limit) * i64::from(self.hundredths);
-        let change = (due - WHOLE * i64::from(held)).saturating_mul(passed);
-        let most = if waiting { due * LONGEST_CREDIT_MS } else { 0 };
-        let least = -due * LONGEST_DEBT_MS;
-        self.balance = self.balance.saturating_add(change).clamp(least, most);
+        let change = (due - WHOLE_HUNDREDTHS * i64::from(used)).saturating_mul(passed);
+        let max_balance = if waiting { due * MAX_CREDIT_MS } else { 0 };
+        let min_balance = -due * MAX_OVERUSE_MS;
+        self.balance = self
+            .balance
+            .saturating_add(change)
+            .clamp(min_balance, max_balance);
     }
 }
--- a/crates/citronway-core/src/dispatch/slots.rs
+++ b/crates/citronway-core/src/dispatch/slots.rs
@@ -11,9 +11,9 @@
 /// State of an order in a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderState {
-    /// Its outcome is awaited.
+    /// The outcome is awaited.
     Running,
-    /// Its caller has been answered, but the endpoint may still be running it.
+    /// The caller has been answered, but the endpoint may still run the order.
     Unresolved,
 }
 
@@ -81,8 +81,8 @@
 
     /// Whether an order for a key of the range may be running.
     #[must_use]
-    pub fn has_order_in(&self, part: &KeyRange) -> bool {
-        self.orders.values().any(|order| part.has(&order.key))
+    pub fn has_order_in(&self, range: &KeyRange) -> bool {
+        self.orders.values().any(|order| range.has(&order.key))
     }
 
     /// Classes of the orders in slots, one item for each order.
--- a/crates/citronway-core/src/dispatch/waiters.rs
+++ b/crates/citronway-core/src/dispatch/waiters.rs
@@ -39,7 +39,6 @@
     }
 
     /// Removes and returns the duplicates whose own deadline has come.
-    
     pub fn expire(&mut self, now: Wall) -> Vec<Waiter> {
         let mut expired = Vec::new();
         for waiters in self.by_id.values_mut() {
--- a/crates/citronway-core/tests/dispatch_grants.rs
+++ b/crates/citronway-core/tests/dispatch_grants.rs
@@ -7,12 +7,12 @@
 use citronway_core::node::events::{OrderReply, ProbeReport};
 use citronway_core::request::Request;
 use citronway_core::shard::KeyHash;
-use dispatch_support::{DRAINING, HEALTHY, Rig, booking, builder, id, lookup, shard, wall};
+use dispatch_support::{DRAINING, HEALTHY, Harness, booking, builder, id, lookup, shard, wall};
 use googletest::prelude::*;
 use indexmap::IndexSet;
 
-fn revoked(rig: &Rig) -> bool {
-    rig.did(|action| matches!(action, DispatchAction::Revoke { .. }))
+fn revoked(harness: &Harness) -> bool {
+    harness.has_action(|action| matches!(action, DispatchAction::Revoke { .. }))
 }
 
 fn sent_to_endpoint(action: &DispatchAction) -> bool {
@@ -27,20 +27,20 @@
 
 #[gtest]
 fn order_waits_for_the_confirmed_grant() {
-    let mut rig = Rig::ungranted(builder(2, true));
-    rig.set_shards(&[shard(1, 1, false)]);
-    rig.submit(1, booking(1, 0));
-    expect_that!(rig.orders(), is_empty());
-    rig.confirm_control(&HEALTHY);
-    expect_that!(rig.orders(), len(eq(1)));
+    let mut harness = Harness::ungranted(builder(2, true));
+    harness.set_shards(&[shard(1, 1, false)]);
+    harness.submit(1, booking(1, 0));
+    expect_that!(harness.orders(), is_empty());
+    harness.confirm_control(&HEALTHY);
+    expect_that!(harness.orders(), len(eq(1)));
 }
 
 #[gtest]
 fn grant_ends_at_a_time_fixed_by_the_sender() {
-    let mut rig = Rig::checking(2);
-    rig.until(300);
-    let ends: Vec<_> = rig
-        .seen
+    let mut harness = Harness::checking(2);
+    harness.advance(300);
+    let ends: Vec<_> = harness
+        .actions
         .iter()
         .filter_map(|action| match action {
             DispatchAction::Grant { grant, .. } => Some(grant.end),
@@ -52,10 +52,10 @@
 
 #[gtest]
 fn no_order_is_sent_once_the_confirmed_end_has_come() {
-    let mut rig = Rig::checking(2);
-    rig.silent_until(1_000);
-    rig.submit(1, booking(1, 0));
-    expect_that!(rig.orders(), is_empty());
+    let mut harness = Harness::checking(2);
+    harness.advance_unanswered(1_000);
+    harness.submit(1, booking(1, 0));
+    expect_that!(harness.orders(), is_empty());
 }
 
 /// Failure guarded against: a shard moves while an order for it runs, and the
@@ -63,20 +63,20 @@
 /// revoked, and released only when the endpoint has confirmed the revocation.
 #[gtest]
 fn move_waits_for_work_in_flight() {
-    let mut rig = Rig::checking(2);
-    rig.submit(1, booking(1, 0));
-    rig.submit(2, lookup(2, "batch", 9_000));
-    rig.set_shards(&[shard(1, 1, true)]);
-    rig.submit(3, booking(3, 0));
-    expect_that!(rig.told(3), eq("not run: Moving"));
-    rig.until(2_000);
-    expect_that!(revoked(&rig), is_false());
-    rig.answered(rig.orders()[1].ticket, "found");
-    rig.answered(rig.orders()[0].ticket, "booked");
-    expect_that!(revoked(&rig), is_true());
-    expect_that!(rig.released(), is_false());
-    rig.confirm_control(&HEALTHY);
-    expect_that!(rig.released(), is_true());
+    let mut harness = Harness::checking(2);
+    harness.submit(1, booking(1, 0));
+    harness.submit(2, lookup(2, "batch", 9_000));
+    harness.set_shards(&[shard(1, 1, true)]);
+    harness.submit(3, booking(3, 0));
+    expect_that!(harness.reply_text(3), eq("not run: Moving"));
+    harness.advance(2_000);
+    expect_that!(revoked(&harness), is_false());
+    harness.answered(harness.orders()[1].ticket, "found");
+    harness.answered(harness.orders()[0].ticket, "booked");
+    expect_that!(revoked(&harness), is_true());
+    expect_that!(harness.released(), is_false());
+    harness.confirm_control(&HEALTHY);
+    expect_that!(harness.released(), is_true());
 }
 
 /// Failure guarded against: a renewal is unanswered, the shard moves and the
@@ -85,25 +85,25 @@
 /// the renewal's end.
 #[gtest]
 fn unanswered_renewal_holds_the_release_back() {
-    let mut rig = Rig::checking(2);
-    rig.silent_until(300);
-    rig.set_shards(&[shard(1, 1, true)]);
-    expect_that!(revoked(&rig), is_true());
-    rig.confirm_control(&HEALTHY);
-    rig.until(1_380);
-    expect_that!(rig.released(), is_false());
-    rig.until(1_400);
-    expect_that!(rig.released(), is_true());
+    let mut harness = Harness::checking(2);
+    harness.advance_unanswered(300);
+    harness.set_shards(&[shard(1, 1, true)]);
+    expect_that!(revoked(&harness), is_true());
+    harness.confirm_control(&HEALTHY);
+    harness.advance(1_380);
+    expect_that!(harness.released(), is_false());
+    harness.advance(1_400);
+    expect_that!(harness.released(), is_true());
 }
 
 #[gtest]
 fn unconfirmed_revocation_is_waited_out() {
-    let mut rig = Rig::checking(2);
-    rig.set_shards(&[shard(1, 1, true)]);
-    rig.silent_until(1_080);
-    expect_that!(rig.released(), is_false());
-    rig.silent_until(1_100);
-    expect_that!(rig.released(), is_true());
+    let mut harness = Harness::checking(2);
+    harness.set_shards(&[shard(1, 1, true)]);
+    harness.advance_unanswered(1_080);
+    expect_that!(harness.released(), is_false());
+    harness.advance_unanswered(1_100);
+    expect_that!(harness.released(), is_true());
 }
 
 /// Failure guarded against: an endpoint that does not check orders still runs an
@@ -111,36 +111,36 @@
 /// revocation proves nothing there, so the release waits for the longest order.
 #[gtest]
 fn endpoint_that_does_not_check_is_waited_out() {
-    let mut rig = Rig::new(builder(2, false));
-    rig.set_shards(&[shard(1, 1, true)]);
-    rig.until(30_080);
-    expect_that!(rig.released(), is_false());
-    rig.until(30_100);
-    expect_that!(rig.released(), is_true());
+    let mut harness = Harness::new(builder(2, false));
+    harness.set_shards(&[shard(1, 1, true)]);
+    harness.advance(30_080);
+    expect_that!(harness.released(), is_false());
+    harness.advance(30_100);
+    expect_that!(harness.released(), is_true());
 }
 
 #[gtest]
 fn order_that_timed_out_blocks_the_release_until_it_cannot_act() {
-    let mut rig = Rig::new(builder(2, false));
-    rig.until(31_000);
+    let mut harness = Harness::new(builder(2, false));
+    harness.advance(31_000);
     let mut slow = booking(1, 31_000);
     slow.deadline = wall(32_000);
-    rig.submit(1, slow);
-    rig.done(rig.last_order(), OrderReply::Lost);
-    rig.set_shards(&[shard(1, 1, true)]);
-    rig.until(32_080);
-    expect_that!(rig.released(), is_false());
-    rig.until(32_100);
-    expect_that!(rig.released(), is_true());
+    harness.submit(1, slow);
+    harness.done(harness.last_order(), OrderReply::Lost);
+    harness.set_shards(&[shard(1, 1, true)]);
+    harness.advance(32_080);
+    expect_that!(harness.released(), is_false());
+    harness.advance(32_100);
+    expect_that!(harness.released(), is_true());
 }
 
 /// Failure guarded against: a request has a deadline of an hour, and its order
 /// runs longer than a successor waits, beside the key's next owner.
 #[gtest]
 fn order_never_outlives_the_longest_order() {
-    let mut rig = Rig::checking(2);
-    rig.submit(1, lookup(1, "batch", 3_600_000));
-    let deadline = rig.seen.iter().find_map(|action| match action {
+    let mut harness = Harness::checking(2);
+    harness.submit(1, lookup(1, "batch", 3_600_000));
+    let deadline = harness.actions.iter().find_map(|action| match action {
         DispatchAction::SendOrder { request, .. } => Some(request.deadline),
         _ => None,
     });
@@ -149,20 +149,20 @@
 
 #[gtest]
 fn confirmed_cancellation_ends_the_wait() {
-    let mut rig = Rig::checking(2);
-    rig.submit(1, booking(1, 0));
-    rig.done(rig.last_order(), OrderReply::Lost);
-    rig.set_shards(&[shard(1, 1, true)]);
-    expect_that!(revoked(&rig), is_false());
+    let mut harness = Harness::checking(2);
+    harness.submit(1, booking(1, 0));
+    harness.done(harness.last_order(), OrderReply::Lost);
+    harness.set_shards(&[shard(1, 1, true)]);
+    expect_that!(revoked(&harness), is_false());
     let id = id(1, 0);
-    rig.apply(DispatchEvent::CancelDone {
+    harness.apply(DispatchEvent::CancelDone {
         id,
         confirmed: false,
     });
-    expect_that!(revoked(&rig), is_false());
+    expect_that!(revoked(&harness), is_false());
     let confirmed = true;
-    rig.apply(DispatchEvent::CancelDone { id, confirmed });
-    expect_that!(revoked(&rig), is_true());
+    harness.apply(DispatchEvent::CancelDone { id, confirmed });
+    expect_that!(revoked(&harness), is_true());
 }
 
 /// Failure guarded against: an endpoint freezes with a grant in its socket buffer,
@@ -171,12 +171,12 @@
 /// later probes must grant nothing.
 #[gtest]
 fn frozen_endpoint_is_quiet_after_the_latest_end_sent() {
-    let mut rig = Rig::checking(2);
-    rig.until_with(1_380, &ProbeReport::Failed);
-    expect_that!(rig.lost(false), is_true());
-    expect_that!(rig.lost(true), is_false());
-    rig.until_with(1_420, &ProbeReport::Failed);
-    expect_that!(rig.lost(true), is_true());
+    let mut harness = Harness::checking(2);
+    harness.advance_with(1_380, &ProbeReport::Failed);
+    expect_that!(harness.lost(false), is_true());
+    expect_that!(harness.lost(true), is_false());
+    harness.advance_with(1_420, &ProbeReport::Failed);
+    expect_that!(harness.lost(true), is_true());
 }
 
 /// Failure guarded against: a frozen endpoint answers again after its loss was
@@ -185,17 +185,20 @@
 /// has a new epoch.
 #[gtest]
 fn endpoint_that_comes_back_gets_nothing_under_the_old_epoch() {
-    let mut rig = Rig::checking(2);
-    rig.until_with(1_600, &ProbeReport::Failed);
-    rig.seen.clear();
-    rig.until(3_000);
-    expect_that!(rig.did(|a| *a == DispatchAction::EndpointBack), is_true());
-    rig.submit(1, booking(1, 1_000));
-    expect_that!(rig.told(1), eq("not run: Moving"));
+    let mut harness = Harness::checking(2);
+    harness.advance_with(1_600, &ProbeReport::Failed);
+    harness.actions.clear();
+    harness.advance(3_000);
+    expect_that!(
+        harness.has_action(|a| *a == DispatchAction::EndpointBack),
+        is_true()
+    );
+    harness.submit(1, booking(1, 1_000));
+    expect_that!(harness.reply_text(1), eq("not run: Moving"));
     let granted = |a: &DispatchAction| matches!(a, DispatchAction::Grant { grant, .. } if !grant.shards.is_empty());
-    expect_that!(rig.did(granted), is_false());
-    rig.set_shards(&[shard(1, 2, false)]);
-    expect_that!(rig.did(granted), is_true());
+    expect_that!(harness.has_action(granted), is_false());
+    harness.set_shards(&[shard(1, 2, false)]);
+    expect_that!(harness.has_action(granted), is_true());
 }
 
 /// Failure guarded against: an endpoint that does not check orders is lost with
@@ -204,24 +207,24 @@
 /// no order of theirs could run.
 #[gtest]
 fn endpoint_that_does_not_check_keeps_only_shards_with_orders() {
-    let mut rig = Rig::new(builder(2, false).nothing_inherited());
+    let mut harness = Harness::new(builder(2, false).nothing_inherited());
     let req = Request {
         deadline: wall(5_000),
         ..booking(1, 0)
     };
     let (busy, idle) = halves(&req);
-    rig.set_shards(&[busy.clone(), idle.clone()]);
-    rig.confirm_control(&HEALTHY);
-    rig.submit(1, req);
-    rig.until_with(2_000, &ProbeReport::Failed);
-    expect_that!(rig.lost(true), is_true());
+    harness.set_shards(&[busy.clone(), idle.clone()]);
+    harness.confirm_control(&HEALTHY);
+    harness.submit(1, req);
+    harness.advance_with(2_000, &ProbeReport::Failed);
+    expect_that!(harness.lost(true), is_true());
     let moving = [moving(&busy), moving(&idle)];
-    rig.set_shards(&moving);
-    expect_that!(released(&rig), elements_are![eq(&idle.at)]);
-    rig.until_with(5_050, &ProbeReport::Failed);
-    expect_that!(released(&rig).contains(&busy.at), is_false());
-    rig.until_with(5_150, &ProbeReport::Failed);
-    expect_that!(released(&rig).contains(&busy.at), is_true());
+    harness.set_shards(&moving);
+    expect_that!(released(&harness), elements_are![eq(&idle.at)]);
+    harness.advance_with(5_050, &ProbeReport::Failed);
+    expect_that!(released(&harness).contains(&busy.at), is_false());
+    harness.advance_with(5_150, &ProbeReport::Failed);
+    expect_that!(released(&harness).contains(&busy.at), is_true());
 }
 
 /// The two halves of the key space; the first one contains the request's key.
@@ -243,12 +246,12 @@
     }
 }
 
-fn released(rig: &Rig) -> IndexSet<ShardRef> {
-    let told = rig.seen.iter().filter_map(|action| match action {
+fn released(harness: &Harness) -> IndexSet<ShardRef> {
+    let shards = harness.actions.iter().filter_map(|action| match action {
         DispatchAction::ShardReleased { at, .. } => Some(at.clone()),
         _ => None,
     });
-    told.collect()
+    shards.collect()
 }
 
 /// Failure guarded against: a shard moves while requests for it wait at the
@@ -257,15 +260,15 @@
 /// floor must be the time of the last order.
 #[gtest]
 fn released_shard_has_the_last_order_as_its_floor() {
-    let mut rig = Rig::new(builder(2, true).nothing_inherited());
-    rig.until(100);
-    rig.submit(1, booking(1, 0));
-    rig.answered(rig.last_order(), "booked");
-    rig.until(900);
-    rig.set_shards(&[shard(1, 1, true)]);
-    rig.confirm_control(&HEALTHY);
-    rig.until(1_200);
-    let floor = rig.seen.iter().find_map(|action| match action {
+    let mut harness = Harness::new(builder(2, true).nothing_inherited());
+    harness.advance(100);
+    harness.submit(1, booking(1, 0));
+    harness.answered(harness.last_order(), "booked");
+    harness.advance(900);
+    harness.set_shards(&[shard(1, 1, true)]);
+    harness.confirm_control(&HEALTHY);
+    harness.advance(1_200);
+    let floor = harness.actions.iter().find_map(|action| match action {
         DispatchAction::ShardReleased { floor, .. } => Some(*floor),
         _ => None,
     });
@@ -277,42 +280,42 @@
 /// but callers get their final answers.
 #[gtest]
 fn nothing_is_sent_while_the_role_is_not_held() {
-    let mut rig = Rig::checking(1);
-    rig.submit(1, booking(1, 0));
-    rig.submit(2, booking(2, 0));
-    rig.seen.clear();
-    rig.may_act = false;
-    rig.done(2, OrderReply::Lost);
-    rig.until(400);
-    rig.submit(3, booking(3, 0));
-    expect_that!(rig.told(3), eq("not run: NoHold"));
-    rig.until(600);
-    expect_that!(rig.told(2), eq("not run: NoHold"));
-    expect_that!(rig.did(sent_to_endpoint), is_false());
+    let mut harness = Harness::checking(1);
+    harness.submit(1, booking(1, 0));
+    harness.submit(2, booking(2, 0));
+    harness.actions.clear();
+    harness.may_act = false;
+    harness.done(2, OrderReply::Lost);
+    harness.advance(400);
+    harness.submit(3, booking(3, 0));
+    expect_that!(harness.reply_text(3), eq("not run: NoHold"));
+    harness.advance(600);
+    expect_that!(harness.reply_text(2), eq("not run: NoHold"));
+    expect_that!(harness.has_action(sent_to_endpoint), is_false());
 }
 
 #[gtest]
 fn draining_stops_new_work_at_once() {
-    let mut rig = Rig::checking(1);
-    rig.submit(1, booking(1, 0));
-    rig.submit(2, booking(2, 0));
-    rig.until_with(300, &DRAINING);
-    expect_that!(rig.told(2), eq("not run: Draining"));
-    rig.submit(3, booking(3, 0));
-    expect_that!(rig.told(3), eq("not run: Draining"));
-    rig.answered(rig.last_order(), "booked");
-    expect_that!(rig.told(1), eq("booked"));
-    expect_that!(rig.orders(), len(eq(1)));
+    let mut harness = Harness::checking(1);
+    harness.submit(1, booking(1, 0));
+    harness.submit(2, booking(2, 0));
+    harness.advance_with(300, &DRAINING);
+    expect_that!(harness.reply_text(2), eq("not run: Draining"));
+    harness.submit(3, booking(3, 0));
+    expect_that!(harness.reply_text(3), eq("not run: Draining"));
+    harness.answered(harness.last_order(), "booked");
+    expect_that!(harness.reply_text(1), eq("booked"));
+    expect_that!(harness.orders(), len(eq(1)));
 }
 
 /// Failure guarded against: two reports arrive out of order, and the older one
 /// ends the drain that the newer one reported.
 #[gtest]
 fn older_report_does_not_end_draining() {
-    let mut rig = Rig::checking(1);
-    rig.silent_until(600);
-    let tickets: Vec<_> = rig
-        .seen
+    let mut harness = Harness::checking(1);
+    harness.advance_unanswered(600);
+    let tickets: Vec<_> = harness
+        .actions
         .iter()
         .filter_map(|action| match action {
             DispatchAction::Grant { ticket, .. } => Some(*ticket),
@@ -320,22 +323,25 @@
         })
         .collect();
     for (ticket, report) in [(tickets[2], DRAINING), (tickets[1], HEALTHY)] {
-        rig.apply(DispatchEvent::GrantDone { ticket, report });
+        harness.apply(DispatchEvent::GrantDone { ticket, report });
     }
-    expect_that!(rig.d.draining(), is_true());
+    expect_that!(harness.d.draining(), is_true());
 }
 
 #[gtest]
 fn endpoint_that_knows_a_higher_epoch_stops_this_dispatcher() {
-    let mut rig = Rig::checking(1);
+    let mut harness = Harness::checking(1);
     let stale = ProbeReport::Answered {
         stale_epoch: true,
         draining: false,
         running: 0,
         cold: false,
     };
-    rig.until_with(300, &stale);
-    expect_that!(rig.did(|a| *a == DispatchAction::Superseded), is_true());
-    rig.submit(1, booking(1, 0));
-    expect_that!(rig.told(1), eq("not run: NotDispatcher"));
+    harness.advance_with(300, &stale);
+    expect_that!(
+        harness.has_action(|a| *a == DispatchAction::Superseded),
+        is_true()
+    );
+    harness.submit(1, booking(1, 0));
+    expect_that!(harness.reply_text(1), eq("not run: NotDispatcher"));
 }
--- a/crates/citronway-core/tests/dispatch_hot_keys.rs
+++ b/crates/citronway-core/tests/dispatch_hot_keys.rs
@@ -19,17 +19,17 @@
     req
 }
 
-fn rig() -> Rig {
+fn harness() -> Harness {
     let cfg = DispatchSettings::builder().queue_max(QUEUE_MAX).build();
-    Rig::with(SLOTS, cfg)
+    Harness::with(SLOTS, cfg)
 }
 
 /// Advances by [`ORDER_MS`] and answers all orders sent since the first
 /// `answered` ones. Adds their number to `answered`.
-fn answer_all(rig: &mut Rig, answered: &mut usize) {
-    rig.until(rig.ms + ORDER_MS);
-    for order in rig.orders().split_off(*answered) {
-        rig.answered(order.ticket, "done");
+fn answer_all(harness: &mut Harness, answered: &mut usize) {
+    harness.advance(harness.ms + ORDER_MS);
+    for order in harness.orders().split_off(*answered) {
+        harness.answered(order.ticket, "done");
         *answered += 1;
     }
 }
@@ -40,19 +40,23 @@
 /// refused, or wait for more than the orders in flight.
 #[gtest]
 fn a_key_too_hot_is_refused_and_others_are_served() {
-    let mut rig = rig();
+    let mut harness = harness();
     let mut answered = 0;
     let mut limited = 0;
     for round in 0..20_u8 {
-        rig.submit(cool(round), of_key(200 + round, &format!("cool-{round}")));
+        harness.submit(cool(round), of_key(200 + round, &format!("cool-{round}")));
         for extra in 0..9 {
             let n = round * 9 + extra;
-            rig.submit(u64::from(n), of_key(n, "hot"));
-            limited += usize::from(rig.told(u64::from(n)) == "not run: HotKeyLimited");
+            harness.submit(u64::from(n), of_key(n, "hot"));
+            limited += usize::from(harness.reply_text(u64::from(n)) == "not run: HotKeyLimited");
         }
-        answer_all(&mut rig, &mut answered);
+        answer_all(&mut harness, &mut answered);
         if round > 0 {
-            expect_that!(rig.told(cool(round - 1)), eq("done"), "in round {round}");
+            expect_that!(
+                harness.reply_text(cool(round - 1)),
+                eq("done"),
+                "in round {round}"
+            );
         }
     }
     expect_that!(limited, gt(100));
@@ -62,15 +66,15 @@
 /// requested, and the first request of another key is refused.
 #[gtest]
 fn a_hot_key_alone_leaves_room_for_the_first_other() {
-    let mut rig = rig();
+    let mut harness = harness();
     let mut answered = 0;
     for n in 0..30 {
-        rig.submit(u64::from(n), of_key(n, "hot"));
+        harness.submit(u64::from(n), of_key(n, "hot"));
     }
-    rig.submit(cool(0), of_key(200, "cool"));
-    answer_all(&mut rig, &mut answered);
-    answer_all(&mut rig, &mut answered);
-    expect_that!(rig.told(cool(0)), eq("done"));
+    harness.submit(cool(0), of_key(200, "cool"));
+    answer_all(&mut harness, &mut answered);
+    answer_all(&mut harness, &mut answered);
+    expect_that!(harness.reply_text(cool(0)), eq("done"));
 }
 
 /// Origin of the request for another key in a round.
--- a/crates/citronway-core/tests/dispatch_hot_shard.rs
+++ b/crates/citronway-core/tests/dispatch_hot_shard.rs
@@ -5,7 +5,7 @@
 use citronway_core::dispatch::OwnedShard;
 use citronway_core::request::Request;
 use citronway_core::shard::{HashRange, KeyHash};
-use dispatch_support::{HEALTHY, Rig, booking, shard};
+use dispatch_support::{HEALTHY, Harness, booking, shard};
 use googletest::prelude::*;
 
 fn hot_shard(req: &Request, moving: bool) -> OwnedShard {
@@ -26,16 +26,16 @@
 /// released, and two endpoints worked on the key.
 #[gtest]
 fn hot_shard_waits_for_work_of_its_key_under_the_old_shard() {
-    let mut rig = Rig::checking(2);
-    rig.submit(1, booking(1, 0));
-    let order = rig.last_order();
-    rig.set_shards(&[shard(1, 1, false), hot_shard(&booking(1, 0), true)]);
-    rig.confirm_control(&HEALTHY);
-    rig.until(600);
-    expect_that!(rig.released(), eq(false));
-    rig.answered(order, "booked");
-    rig.until(1_200);
-    expect_that!(rig.released(), eq(true));
+    let mut harness = Harness::checking(2);
+    harness.submit(1, booking(1, 0));
+    let order = harness.last_order();
+    harness.set_shards(&[shard(1, 1, false), hot_shard(&booking(1, 0), true)]);
+    harness.confirm_control(&HEALTHY);
+    harness.advance(600);
+    expect_that!(harness.released(), eq(false));
+    harness.answered(order, "booked");
+    harness.advance(1_200);
+    expect_that!(harness.released(), eq(true));
 }
 
 /// Failure guarded against: a booking for a hot key is queued under the
@@ -44,10 +44,10 @@
 /// it looks up the key's present owner.
 #[gtest]
 fn waiting_work_of_a_hot_key_goes_back_to_its_entry() {
-    let mut rig = Rig::checking(1);
-    rig.submit(1, booking(2, 0));
-    rig.submit(2, booking(1, 0));
-    rig.set_shards(&[shard(1, 1, false), hot_shard(&booking(1, 0), false)]);
-    expect_that!(rig.told(2), eq("not run: Moving"));
-    expect_that!(rig.told(1), eq("-"));
+    let mut harness = Harness::checking(1);
+    harness.submit(1, booking(2, 0));
+    harness.submit(2, booking(1, 0));
+    harness.set_shards(&[shard(1, 1, false), hot_shard(&booking(1, 0), false)]);
+    expect_that!(harness.reply_text(2), eq("not run: Moving"));
+    expect_that!(harness.reply_text(1), eq("-"));
 }
--- a/crates/citronway-core/tests/dispatch_random.rs
+++ b/crates/citronway-core/tests/dispatch_random.rs
@@ -10,7 +10,7 @@
 use citronway_core::outcome::{Answer, Outcome};
 use citronway_core::request::{Repeat, Request};
 use dispatch_support::{
-    DRAINING, HEALTHY, Rig, answer, booking, builder, id, lookup, shard, shard_ref, wall,
+    DRAINING, HEALTHY, Harness, answer, booking, builder, id, lookup, shard, shard_ref, wall,
 };
 use indexmap::{IndexMap, IndexSet};
 use proptest::prelude::*;
@@ -25,11 +25,11 @@
 /// messages; a step with an index out of range does nothing.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    Book { n: u8, twisted: bool, wait_ms: u64 },
+    Book { n: u8, altered: bool, wait_ms: u64 },
     Look { n: u8, batch: bool, wait_ms: u64 },
     Order { pick: usize, reply: u8 },
     CancelAnswer { pick: usize, confirmed: bool },
-    Gone { origin: u64 },
+    CallerGone { origin: u64 },
     Control { pick: usize, report: u8 },
     Pass { ms: u64 },
     Hold { may_act: bool },
@@ -40,13 +40,13 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..12_u8, prop::bool::weighted(0.1), 20..3_000_u64)
-            .prop_map(|(n, twisted, wait_ms)| Step::Book { n, twisted, wait_ms }),
+            .prop_map(|(n, altered, wait_ms)| Step::Book { n, altered, wait_ms }),
         4 => (20..32_u8, any::<bool>(), 20..3_000_u64)
             .prop_map(|(n, batch, wait_ms)| Step::Look { n, batch, wait_ms }),
         8 => (0..8_usize, 0..8_u8).prop_map(|(pick, reply)| Step::Order { pick, reply }),
         2 => (0..8_usize, any::<bool>())
             .prop_map(|(pick, confirmed)| Step::CancelAnswer { pick, confirmed }),
-        1 => (0..100_u64).prop_map(|origin| Step::Gone { origin }),
+        1 => (0..100_u64).prop_map(|origin| Step::CallerGone { origin }),
         8 => (0..3_usize, 0..10_u8).prop_map(|(pick, report)| Step::Control { pick, report }),
         8 => (1..400_u64).prop_map(|ms| Step::Pass { ms }),
         1 => any::<bool>().prop_map(|may_act| Step::Hold { may_act }),
@@ -71,20 +71,20 @@
 }
 
 #[derive(Debug, Default)]
-struct Ledger {
-    asked: IndexMap<Ticket, Request>,
-    told: IndexSet<Ticket>,
+struct Model {
+    submitted: IndexMap<Ticket, Request>,
+    replied: IndexSet<Ticket>,
     open: IndexMap<Ticket, Request>,
     /// Orders that the endpoint may be running.
     running: IndexMap<Ticket, Running>,
     /// Ids that were sent and not proven to be not run.
-    burnt: IndexSet<RequestId>,
+    sent_ids: IndexSet<RequestId>,
     /// Unanswered grants and revocations.
     control: Vec<Control>,
     /// Ends of grants that were reported as failed; they may still arrive.
-    late: Vec<u64>,
+    unanswered_ends: Vec<u64>,
     /// Until when the endpoint holds the shard, by the messages it received.
-    holds: u64,
+    held_until: u64,
     cancels: Vec<RequestId>,
     epoch: u64,
     /// Latest end granted under the present epoch.
@@ -92,13 +92,13 @@
     released: IndexSet<u64>,
 }
 
-struct World {
-    rig: Rig,
-    ledger: Ledger,
+struct Simulation {
+    harness: Harness,
+    model: Model,
     checks: bool,
 }
 
-impl World {
+impl Simulation {
     fn new(checks: bool) -> Self {
         let cfg = DispatchSettings::builder()
             .queue_max(6)
@@ -106,49 +106,49 @@
             .max_ids(3)
             .id_window_min_ms(500)
             .build();
-        let rig = Rig::ungranted(builder(SLOTS, checks).settings(cfg));
-        let ledger = Ledger {
+        let harness = Harness::ungranted(builder(SLOTS, checks).settings(cfg));
+        let model = Model {
             epoch: 1,
-            ..Ledger::default()
+            ..Model::default()
         };
-        let mut world = Self {
-            rig,
-            ledger,
+        let mut simulation = Self {
+            harness,
+            model,
             checks,
         };
-        world.set_shard(false);
-        world
+        simulation.set_shard(false);
+        simulation
     }
 
     fn run(&mut self, step: Step) {
         match step {
             Step::Book {
                 n,
-                twisted,
+                altered,
                 wait_ms,
             } => {
                 let mut req = booking(n, u64::from(n) * BOOKING_EVERY_MS);
-                if twisted {
+                if altered {
                     "/other".clone_into(&mut req.path);
                 }
-                req.deadline = wall(self.rig.ms + wait_ms);
+                req.deadline = wall(self.harness.ms + wait_ms);
                 self.submit(req);
             }
             Step::Look { n, batch, wait_ms } => {
                 let class = if batch { "batch" } else { "interactive" };
-                self.submit(lookup(n, class, self.rig.ms + wait_ms));
+                self.submit(lookup(n, class, self.harness.ms + wait_ms));
             }
             Step::Order { pick, reply } => self.order_done(pick, reply),
             Step::CancelAnswer { pick, confirmed } => self.cancel_done(pick, confirmed),
-            Step::Gone { origin } => self.apply(DispatchEvent::Cancel { origin }),
+            Step::CallerGone { origin } => self.apply(DispatchEvent::Cancel { origin }),
             Step::Control { pick, report } => self.control_done(pick, report),
             Step::Pass { ms } => self.pass(ms),
-            Step::Hold { may_act } => self.rig.may_act = may_act,
+            Step::Hold { may_act } => self.harness.may_act = may_act,
             Step::Move { moving } => self.set_shard(moving),
             Step::NextEpoch => {
-                if self.ledger.released.contains(&self.ledger.epoch) {
-                    self.ledger.epoch += 1;
-                    self.ledger.end = 0;
+                if self.model.released.contains(&self.model.epoch) {
+                    self.model.epoch += 1;
+                    self.model.end = 0;
                     self.set_shard(false);
                 }
             }
@@ -156,8 +156,8 @@
     }
 
     fn submit(&mut self, request: Request) {
-        let origin = self.ledger.asked.len() as Ticket;
-        self.ledger.asked.insert(origin, request.clone());
+        let origin = self.model.submitted.len() as Ticket;
+        self.model.submitted.insert(origin, request.clone());
         let shard = shard_ref(1).shard;
         self.apply(DispatchEvent::Submit {
             origin,
@@ -167,17 +167,13 @@
     }
 
     fn order_done(&mut self, pick: usize, reply: u8) {
-        let Some((&ticket, _)) = self.ledger.open.get_index(pick) else {
+        let Some((&ticket, _)) = self.model.open.get_index(pick) else {
             return;
         };
-        let req = self
-            .ledger
-            .open
-            .shift_remove(&ticket)
-            .expect("it was there");
+        let req = self.model.open.shift_remove(&ticket).expect("it was there");
         let reply = match reply {
             0..=3 => OrderReply::Answered {
-                answer: own_answer(&req),
+                answer: expected_answer(&req),
             },
             4 => OrderReply::Refused {
                 reason: RefusedReason::Shed,
@@ -188,13 +184,13 @@
         };
         match reply {
             OrderReply::Answered { .. } => {
-                self.ledger.running.swap_remove(&ticket);
+                self.model.running.swap_remove(&ticket);
             }
             OrderReply::Refused { .. } | OrderReply::NotSent => {
-                self.ledger.running.swap_remove(&ticket);
+                self.model.running.swap_remove(&ticket);
                 // The proof counts only if it comes before the caller's deadline.
-                if req.deadline > wall(self.rig.ms) {
-                    self.ledger.burnt.swap_remove(&req.id);
+                if req.deadline > wall(self.harness.ms) {
+                    self.model.sent_ids.swap_remove(&req.id);
                 }
             }
             OrderReply::Lost | OrderReply::Foreign | OrderReply::Timeout => {}
@@ -203,25 +199,21 @@
     }
 
     fn cancel_done(&mut self, pick: usize, confirmed: bool) {
-        if pick >= self.ledger.cancels.len() {
+        if pick >= self.model.cancels.len() {
             return;
         }
-        let id = self.ledger.cancels.remove(pick);
+        let id = self.model.cancels.remove(pick);
         if confirmed {
-            let of_id = self
-                .ledger
-                .running
-                .values()
-                .position(|order| order.id == id);
+            let of_id = self.model.running.values().position(|order| order.id == id);
             if let Some(index) = of_id {
-                self.ledger.running.shift_remove_index(index);
+                self.model.running.shift_remove_index(index);
             }
         }
         self.apply(DispatchEvent::CancelDone { id, confirmed });
     }
 
     fn control_done(&mut self, pick: usize, report: u8) {
-        if pick >= self.ledger.control.len() {
+        if pick >= self.model.control.len() {
             return;
         }
         let report = match report {
@@ -229,33 +221,33 @@
             7 => DRAINING,
             _ => ProbeReport::Failed,
         };
-        let message = self.ledger.control.remove(pick);
+        let message = self.model.control.remove(pick);
         let ticket = message.ticket;
         match (message.end, &report) {
-            (Some(end), ProbeReport::Failed) => self.ledger.late.push(end),
-            (Some(end), _) => self.ledger.holds = self.ledger.holds.max(end),
+            (Some(end), ProbeReport::Failed) => self.model.unanswered_ends.push(end),
+            (Some(end), _) => self.model.held_until = self.model.held_until.max(end),
             (None, ProbeReport::Failed) => {}
-            (None, _) if message.revokes => self.ledger.holds = 0,
+            (None, _) if message.revokes => self.model.held_until = 0,
             (None, _) => {}
         }
         self.apply(DispatchEvent::GrantDone { ticket, report });
     }
 
     fn pass(&mut self, ms: u64) {
-        self.rig.ms += ms;
-        let now = self.rig.ms;
-        let running = &mut self.ledger.running;
+        self.harness.ms += ms;
+        let now = self.harness.ms;
+        let running = &mut self.model.running;
         running.retain(|_, order| order.due + ENDPOINT_SKEW_MS > now);
         self.apply(DispatchEvent::Tick);
     }
 
     fn set_shard(&mut self, moving: bool) {
-        let shards = vec![shard(1, self.ledger.epoch, moving)];
+        let shards = vec![shard(1, self.model.epoch, moving)];
         self.apply(DispatchEvent::SetShards { shards });
     }
 
     fn apply(&mut self, event: DispatchEvent) {
-        for action in self.rig.apply(event) {
+        for action in self.harness.apply(event) {
             self.check(&action);
         }
     }
@@ -265,32 +257,38 @@
             DispatchAction::Reply { origin, outcome } => self.check_reply(*origin, outcome),
             DispatchAction::Reject { origin, fault } => {
                 assert_ne!(*fault, RequestFault::IdWithoutTime);
-                assert!(self.ledger.told.insert(*origin), "told twice: {origin}");
+                assert!(self.model.replied.insert(*origin), "second reply: {origin}");
             }
             DispatchAction::SendOrder {
                 ticket, request, ..
             } => self.check_order(*ticket, request),
-            DispatchAction::Cancel { id } => self.ledger.cancels.push(*id),
+            DispatchAction::Cancel { id } => self.model.cancels.push(*id),
             DispatchAction::Grant { ticket, grant } => {
                 self.check_held();
                 let end = (!grant.shards.is_empty()).then_some(grant.end.0);
                 self.sent_control(*ticket, end, false);
                 if let Some(end) = end {
-                    let epoch = self.ledger.epoch;
-                    assert!(!self.ledger.released.contains(&epoch), "granted again");
-                    self.ledger.end = end;
+                    let epoch = self.model.epoch;
+                    assert!(
+                        !self.model.released.contains(&epoch),
+                        "granted again after its release"
+                    );
+                    self.model.end = end;
                 }
             }
             DispatchAction::Revoke { ticket, .. } => {
                 self.check_held();
                 self.sent_control(*ticket, None, true);
-                assert!(self.ledger.running.is_empty(), "revoked under running work");
+                assert!(
+                    self.model.running.is_empty(),
+                    "revoked while orders are running"
+                );
             }
             DispatchAction::ShardReleased { at, epoch, .. } => self.check_released(at, epoch.0),
             DispatchAction::EndpointLost { quiet } => {
                 if *quiet && self.checks {
                     self.check_nothing_held();
-                    self.ledger.released.insert(self.ledger.epoch);
+                    self.model.released.insert(self.model.epoch);
                 }
             }
             DispatchAction::EndpointBack | DispatchAction::Superseded => {}
@@ -298,16 +296,16 @@
     }
 
     fn check_reply(&mut self, origin: Ticket, outcome: &Outcome) {
-        assert!(self.ledger.told.insert(origin), "told twice: {origin}");
-        let req = &self.ledger.asked[&origin];
+        assert!(self.model.replied.insert(origin), "second reply: {origin}");
+        let req = &self.model.submitted[&origin];
         match outcome {
             Outcome::Answered(got) => {
-                assert_eq!(*got, own_answer(req), "another's answer");
+                assert_eq!(*got, expected_answer(req), "answer to another request");
             }
             Outcome::NotRun(_) if req.repeat == Repeat::NonIdempotent => {
                 assert!(
-                    !self.ledger.burnt.contains(&req.id),
-                    "said not run: {req:?}"
+                    !self.model.sent_ids.contains(&req.id),
+                    "answered `not run` after it was sent: {req:?}"
                 );
             }
             Outcome::NotRun(_) | Outcome::MayHaveRun(_) => {}
@@ -317,42 +315,42 @@
     fn check_order(&mut self, ticket: Ticket, req: &Request) {
         self.check_held();
         assert!(
-            self.ledger.end > wall(self.rig.ms).0,
+            self.model.end > wall(self.harness.ms).0,
             "sent without a grant"
         );
-        assert!(!self.ledger.released.contains(&self.ledger.epoch));
+        assert!(!self.model.released.contains(&self.model.epoch));
         if req.repeat == Repeat::NonIdempotent {
             let created = req.id.created().expect("version 7");
-            assert!(created <= wall(self.rig.ms), "sent before its creation");
-            assert!(self.ledger.burnt.insert(req.id), "sent twice: {}", req.id);
+            assert!(created <= wall(self.harness.ms), "sent before its creation");
+            assert!(self.model.sent_ids.insert(req.id), "sent twice: {}", req.id);
         }
         let due = req.deadline.0 - wall(0).0;
         let id = req.id;
-        self.ledger.running.insert(ticket, Running { id, due });
-        self.ledger.open.insert(ticket, req.clone());
-        let running = u32::try_from(self.ledger.running.len()).expect("few");
+        self.model.running.insert(ticket, Running { id, due });
+        self.model.open.insert(ticket, req.clone());
+        let running = u32::try_from(self.model.running.len()).expect("few");
         assert!(running <= SLOTS, "{running} orders on {SLOTS} slots");
     }
 
     fn check_held(&self) {
-        assert!(self.rig.may_act, "sent while the role is not held");
+        assert!(self.harness.may_act, "sent while the role is not held");
     }
 
     fn check_released(&mut self, at: &ShardRef, epoch: u64) {
         assert_eq!(*at, shard_ref(1));
         // Once an endpoint that checks orders was reported as quiet, its shards
         // are free even if orders still run: none can be committed any more.
-        if self.checks && self.ledger.released.contains(&epoch) {
+        if self.checks && self.model.released.contains(&epoch) {
             return self.check_nothing_held();
         }
         assert!(
-            self.ledger.running.is_empty(),
-            "released under running work"
+            self.model.running.is_empty(),
+            "released while orders are running"
         );
-        if self.checks && self.ledger.released.insert(epoch) {
+        if self.checks && self.model.released.insert(epoch) {
             self.check_nothing_held();
         }
-        self.ledger.released.insert(epoch);
+        self.model.released.insert(epoch);
     }
 
     fn sent_control(&mut self, ticket: Ticket, end: Option<u64>, revokes: bool) {
@@ -361,16 +359,19 @@
             end,
             revokes,
         };
-        self.ledger.control.push(control);
+        self.model.control.push(control);
     }
 
     /// Checks that the endpoint does not hold the shard and that no grant still
     /// under way can give it the shard.
     fn check_nothing_held(&self) {
-        let now = wall(self.rig.ms).0;
-        let under_way = self.ledger.control.iter().filter_map(|sent| sent.end);
-        let late = self.ledger.late.iter().copied();
-        for end in under_way.chain(late).chain([self.ledger.holds]) {
+        let now = wall(self.harness.ms).0;
+        let under_way = self.model.control.iter().filter_map(|sent| sent.end);
+        let unanswered_ends = self.model.unanswered_ends.iter().copied();
+        for end in under_way
+            .chain(unanswered_ends)
+            .chain([self.model.held_until])
+        {
             assert!(end + ENDPOINT_SKEW_MS <= now, "held until {end}, now {now}");
         }
     }
@@ -378,12 +379,12 @@
     /// Lets all deadlines pass and checks that every request has its reply.
     fn finish(&mut self) {
         self.pass(4_000);
-        assert_eq!(self.ledger.told.len(), self.ledger.asked.len());
+        assert_eq!(self.model.replied.len(), self.model.submitted.len());
     }
 }
 
 /// The answer that identifies a request.
-fn own_answer(req: &Request) -> Answer {
+fn expected_answer(req: &Request) -> Answer {
     answer(&format!("{} {}", req.id, req.path))
 }
 
@@ -396,11 +397,11 @@
     };
     let steps = proptest::collection::vec(step(), 1..150);
     let result = TestRunner::new(config).run(&steps, |steps| {
-        let mut world = World::new(checks);
+        let mut simulation = Simulation::new(checks);
         for step in steps {
-            world.run(step);
+            simulation.run(step);
         }
-        world.finish();
+        simulation.finish();
         Ok(())
     });
     result.unwrap();
@@ -426,18 +427,19 @@
     };
     let times = proptest::collection::vec(1..200_u64, 200);
     let result = TestRunner::new(config).run(&times, |times| {
-        let mut rig = Rig::checking(1);
-        rig.submit(1_001, lookup(201, "interactive", 90_000));
-        rig.submit(1_002, lookup(202, "interactive", 90_000));
-        rig.submit(1_000, lookup(0, "batch", 90_000));
+        let mut harness = Harness::checking(1);
+        harness.submit(1_001, lookup(201, "interactive", 90_000));
+        harness.submit(1_002, lookup(202, "interactive", 90_000));
+        harness.submit(1_000, lookup(0, "batch", 90_000));
         for (n, took) in (1..=200_u8).zip(times) {
-            rig.submit(u64::from(n), lookup(n, "interactive", 90_000));
-            rig.until(rig.ms + took);
-            let order = rig.last_order();
-            rig.answered(order, "done");
+            harness.submit(u64::from(n), lookup(n, "interactive", 90_000));
+            harness.advance(harness.ms + took);
+            let order = harness.last_order();
+            harness.answered(order, "done");
         }
         assert!(
-            rig.orders()
+            harness
+                .orders()
                 .iter()
                 .take(4)
                 .any(|order| order.id == id(0, 0))
--- a/crates/citronway-core/tests/dispatch_retry_hotkeys.rs
+++ b/crates/citronway-core/tests/dispatch_retry_hotkeys.rs
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn decay_lets_old_heat_fade() {
+fn decay_lowers_old_counts() {
     let mut sketch = HotKeys::new(4);
     for _ in 0..100 {
         sketch.add(&"old");
--- a/crates/citronway-core/tests/dispatch_support/mod.rs
+++ b/crates/citronway-core/tests/dispatch_support/mod.rs
@@ -21,11 +21,11 @@
 
 /// A dispatcher under test. Times are milliseconds since [`START`].
 #[derive(Debug)]
-pub struct Rig {
+pub struct Harness {
     pub d: Dispatcher,
     pub ms: u64,
     pub may_act: bool,
-    pub seen: Vec<DispatchAction>,
+    pub actions: Vec<DispatchAction>,
 }
 
 pub fn endpoint(slots: u32, checks_orders: bool) -> Endpoint {
@@ -145,13 +145,13 @@
     cold: false,
 };
 
-impl Rig {
+impl Harness {
     /// Starts at 0 ms with shard 1 granted.
     pub fn new(builder: DispatcherBuilder) -> Self {
-        let mut rig = Self::ungranted(builder);
-        rig.set_shards(&[shard(1, 1, false)]);
-        rig.confirm_control(&HEALTHY);
-        rig
+        let mut harness = Self::ungranted(builder);
+        harness.set_shards(&[shard(1, 1, false)]);
+        harness.confirm_control(&HEALTHY);
+        harness
     }
 
     pub fn ungranted(builder: DispatcherBuilder) -> Self {
@@ -159,7 +159,7 @@
             d: builder.start(now(0)),
             ms: 0,
             may_act: true,
-            seen: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
@@ -179,12 +179,12 @@
             may_act: self.may_act,
         };
         let actions = self.d.apply(event, turn);
-        self.seen.extend(actions.iter().cloned());
+        self.actions.extend(actions.iter().cloned());
         actions
     }
 
     /// Advances the clock to `ms`; no probe is answered.
-    pub fn silent_until(&mut self, ms: u64) {
+    pub fn advance_unanswered(&mut self, ms: u64) {
         while self.ms < ms {
             self.ms = (self.ms + 20).min(ms);
             self.apply(DispatchEvent::Tick);
@@ -192,7 +192,7 @@
     }
 
     /// Advances the clock to `ms`; each probe is answered with `report` at once.
-    pub fn until_with(&mut self, ms: u64, report: &ProbeReport) {
+    pub fn advance_with(&mut self, ms: u64, report: &ProbeReport) {
         while self.ms < ms {
             self.ms = (self.ms + 20).min(ms);
             let actions = self.apply(DispatchEvent::Tick);
@@ -200,8 +200,8 @@
         }
     }
 
-    pub fn until(&mut self, ms: u64) {
-        self.until_with(ms, &HEALTHY);
+    pub fn advance(&mut self, ms: u64) {
+        self.advance_with(ms, &HEALTHY);
     }
 
     pub fn set_shards(&mut self, shards: &[OwnedShard]) {
@@ -211,7 +211,7 @@
 
     /// Answers the last grant or revocation that was sent.
     pub fn confirm_control(&mut self, report: &ProbeReport) {
-        let last = self.seen.iter().rev().find_map(control_ticket);
+        let last = self.actions.iter().rev().find_map(control_ticket);
         let ticket = last.expect("a grant or revocation was sent");
         let report = report.clone();
         self.apply(DispatchEvent::GrantDone { ticket, report });
@@ -249,7 +249,7 @@
 
     /// Tickets of the orders sent so far, with the ids of their requests.
     pub fn orders(&self) -> Vec<Sent> {
-        self.seen.iter().filter_map(sent).collect()
+        self.actions.iter().filter_map(sent).collect()
     }
 
     pub fn last_order(&self) -> Ticket {
@@ -262,27 +262,27 @@
             DispatchAction::Reply { origin: o, outcome } if *o == origin => Some(outcome.clone()),
             _ => None,
         };
-        self.seen.iter().filter_map(of).collect()
+        self.actions.iter().filter_map(of).collect()
     }
 
     /// Text of the only reply to an origin, `-` if there is none yet.
-    pub fn told(&self, origin: Ticket) -> String {
+    pub fn reply_text(&self, origin: Ticket) -> String {
         let replies = self.replies(origin);
         assert!(replies.len() <= 1, "several replies: {replies:?}");
         replies.first().map_or_else(|| "-".to_owned(), short)
     }
 
     /// Whether the dispatcher returned an action that matches.
-    pub fn did(&self, wanted: impl Fn(&DispatchAction) -> bool) -> bool {
-        self.seen.iter().any(wanted)
+    pub fn has_action(&self, wanted: impl Fn(&DispatchAction) -> bool) -> bool {
+        self.actions.iter().any(wanted)
     }
 
     pub fn released(&self) -> bool {
-        self.did(|action| matches!(action, DispatchAction::ShardReleased { .. }))
+        self.has_action(|action| matches!(action, DispatchAction::ShardReleased { .. }))
     }
 
     pub fn lost(&self, quiet: bool) -> bool {
-        self.did(|action| *action == DispatchAction::EndpointLost { quiet })
+        self.has_action(|action| *action == DispatchAction::EndpointLost { quiet })
     }
 }
 
