--- a/crates/citronway-core/src/dispatch/mod.rs
+++ b/crates/citronway-core/src/dispatch/mod.rs
@@ -7,7 +7,7 @@
 //! | module | content |
 //! |---|---|
 //! | `machine` | the dispatcher; `arriving`, `settling`, `sending`, `granting` and `reporting` implement its parts |
-//! | `queue`, `share`, `pace` | priority queue, kept shares of classes, service interval of a class |
+//! | `queue`, `share`, `service_interval` | priority queue, kept shares of classes, service interval of a class |
 //! | `admission` | admission control on arrival |
 //! | `slots`, `limit`, `service` | slots in use, adaptive concurrency limit, mean service times |
 //! | `duplicates`, `answers`, `fingerprint`, `waiters` | deduplication of non-idempotent requests |
@@ -26,13 +26,13 @@
 pub mod limit;
 pub mod machine;
 pub mod message;
-pub mod pace;
 pub mod queue;
 pub mod replay;
 mod reporting;
 mod sending;
 pub mod sent_grants;
 pub mod service;
+pub mod service_interval;
 pub mod settings;
 mod settling;
 pub mod share;
--- a/crates/citronway-core/src/dispatch/queue.rs
+++ b/crates/citronway-core/src/dispatch/queue.rs
@@ -10,8 +10,8 @@
 use indexmap::IndexMap;
 
 use super::message::{KeyRange, KeyRef, ShardRef};
-use super::pace::ServiceInterval;
 use super::service::ServiceTimes;
+use super::service_interval::ServiceInterval;
 use super::share::KeptShare;
 use crate::config::Class;
 use crate::ids::{ClassName, RequestId};
@@ -171,7 +171,7 @@
 
     /// Adds a request. The caller has checked the limits of the queue.
     pub fn push(&mut self, waiting: QueuedRequest) {
-        let index = self.class_index(&waiting.request.class);
+        let index = self.index_of_class(&waiting.request.class);
         if index == self.class_queues.len() {
             self.class_queues
                 .push(ClassQueue::unknown(waiting.request.class.clone()));
@@ -322,7 +322,7 @@
         selected
     }
 
-    fn class_index(&self, class: &ClassName) -> usize {
+    fn index_of_class(&self, class: &ClassName) -> usize {
         self.class_queues
             .iter()
             .position(|queue| queue.class == *class)
