--- a/crates/citronway-core/benches/dispatch.rs
+++ b/crates/citronway-core/benches/dispatch.rs
@@ -1,4 +1,4 @@
-//! How the cost of a dispatcher's decisions grows with what it holds.
+//! Cost of a dispatcher's decisions by the number of queued requests and known ids.
 
 use std::hint::black_box;
 
@@ -6,7 +6,7 @@
 use citronway_core::config::Class;
 use citronway_core::dispatch::duplicates::Duplicates;
 use citronway_core::dispatch::fingerprint::Fingerprint;
-use citronway_core::dispatch::queue::{Queue, Waiting};
+use citronway_core::dispatch::queue::{Queue, QueuedRequest};
 use citronway_core::dispatch::service::ServiceTimes;
 use citronway_core::dispatch::{DispatchSettings, ShardRef};
 use citronway_core::hotkeys::HotKeys;
@@ -23,7 +23,7 @@
 const KNOWN: [u64; 3] = [1_000, 10_000, 100_000];
 const COUNTERS: [usize; 3] = [64, 512, 4_096];
 
-/// Spreads consecutive numbers, always in the same way.
+/// Deterministic hash that spreads consecutive numbers.
 const fn spread(n: u64) -> u64 {
     n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32
 }
@@ -52,8 +52,8 @@
     }
 }
 
-fn waiting(n: u64) -> Waiting {
-    Waiting {
+fn waiting(n: u64) -> QueuedRequest {
+    QueuedRequest {
         origin: n,
         request: request(n),
         at: ShardRef {
@@ -93,7 +93,7 @@
             b.iter(|| {
                 n += 1;
                 queue.push(next.clone());
-                next = queue.pick(Mono(n), |_| true).expect("something waits");
+                next = queue.pop_fit(Mono(n), |_| true).expect("something waits");
             });
         });
     }
@@ -125,7 +125,7 @@
         let mut table = Duplicates::new(&cfg, Wall(0));
         for n in 0..len {
             let req = request(n);
-            table.take(req.id, Fingerprint::of(&req));
+            table.register(req.id, Fingerprint::of(&req));
             table.settle(req.id, &done);
         }
         let new = request(len);
@@ -148,7 +148,7 @@
         group.bench_function(BenchmarkId::from_parameter(counters), |b| {
             b.iter(|| {
                 n += 1;
-                // Every key is new, so that each displaces another.
+                // Every key is new, so that each evicts another.
                 sketch.add(black_box(&n));
             });
         });
--- a/crates/citronway-core/src/dispatch/answers.rs
+++ b/crates/citronway-core/src/dispatch/answers.rs
@@ -1,4 +1,4 @@
-//! Answers kept for duplicates, up to a number of bytes.
+//! Cache of answers for duplicates, bounded in bytes.
 
 use std::collections::VecDeque;
 
@@ -7,47 +7,47 @@
 use crate::ids::RequestId;
 use crate::outcome::Answer;
 
-/// Bytes counted for an answer besides its body.
-const OVERHEAD: usize = 128;
+/// Overhead counted for each answer in addition to its body, in bytes.
+const OVERHEAD_BYTES: usize = 128;
 
-/// Answers by id; the oldest go first when there is no room.
+/// Answers by request id; the oldest are evicted first.
 #[derive(Debug)]
-pub struct Answers {
+pub struct AnswerCache {
     kept: IndexMap<RequestId, Answer>,
     order: VecDeque<RequestId>,
     bytes: usize,
-    most: usize,
+    max_bytes: usize,
 }
 
-impl Answers {
-    /// No answers; room for `most` bytes.
+impl AnswerCache {
+    /// Creates an empty cache with room for `max_bytes` bytes.
     #[must_use]
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_bytes: usize) -> Self {
         Self {
             kept: IndexMap::new(),
             order: VecDeque::new(),
             bytes: 0,
-            most,
+            max_bytes,
         }
     }
 
-    /// The kept answer.
+    /// The cached answer; `None` if there is none.
     #[must_use]
     pub fn get(&self, id: RequestId) -> Option<&Answer> {
         self.kept.get(&id)
     }
 
-    /// Keeps an answer, unless it alone is too large.
+    /// Caches an answer, unless it is larger than the whole cache.
     pub fn keep(&mut self, id: RequestId, answer: Answer) {
         let size = size(&answer);
-        if size > self.most {
+        if size > self.max_bytes {
             return;
         }
         self.forget(id);
         self.bytes += size;
         self.kept.insert(id, answer);
         self.order.push_back(id);
-        while self.bytes > self.most {
+        while self.bytes > self.max_bytes {
             let Some(oldest) = self.order.pop_front() else {
                 break;
             };
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Forgets an answer.
+    /// Removes an answer, if there is one.
     pub fn forget(&mut self, id: RequestId) {
         if self.drop_answer(id) {
             self.order.retain(|other| *other != id);
@@ -72,5 +72,5 @@
 }
 
 const fn size(answer: &Answer) -> usize {
-    answer.body.len() + OVERHEAD
+    answer.body.len() + OVERHEAD_BYTES
 }
--- a/crates/citronway-core/src/dispatch/health.rs
+++ b/crates/citronway-core/src/dispatch/health.rs
@@ -1,4 +1,4 @@
-//! What the endpoint's answers to probes say about it.
+//! Health of an endpoint from its answers to probes.
 
 use super::settings::DispatchSettings;
 use crate::node::events::{ProbeReport, Ticket};
@@ -7,11 +7,11 @@
 /// Whether the endpoint can be reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
-    /// Its last probe was answered.
+    /// The last probe was answered.
     Healthy,
-    /// Probes have failed, not for long.
+    /// Probes have failed, but not yet for the configured time.
     Suspect,
-    /// Probes have failed in a row for the configured time.
+    /// Consecutive probes have failed for the configured time.
     Unreachable,
 }
 
@@ -19,9 +19,9 @@
 #[derive(Debug)]
 pub struct Health {
     reach: Reach,
-    fails: u32,
-    answered: Mono,
-    newest: Ticket,
+    consecutive_failures: u32,
+    last_answered: Mono,
+    newest_ticket: Ticket,
     draining: bool,
     stale: bool,
     cold: bool,
@@ -29,14 +29,14 @@
 }
 
 impl Health {
-    /// Nothing is known yet; the endpoint gets the benefit of the doubt.
+    /// Creates the state before the first probe: the endpoint counts as healthy.
     #[must_use]
     pub const fn new(now: Mono) -> Self {
         Self {
             reach: Reach::Healthy,
-            fails: 0,
-            answered: now,
-            newest: 0,
+            consecutive_failures: 0,
+            last_answered: now,
+            newest_ticket: 0,
             draining: false,
             stale: false,
             cold: false,
@@ -44,49 +44,50 @@
         }
     }
 
-    /// Whether it can be reached.
+    /// Whether the endpoint can be reached.
     #[must_use]
     pub const fn reach(&self) -> Reach {
         self.reach
     }
 
-    /// Whether it is leaving, by its own word.
+    /// Whether the endpoint has reported that it is draining.
     #[must_use]
     pub const fn draining(&self) -> bool {
         self.draining
     }
 
-    /// Whether it knows a higher epoch than this dispatcher's.
+    /// Whether the endpoint knows a higher epoch than this dispatcher's.
     #[must_use]
     pub const fn stale(&self) -> bool {
         self.stale
     }
 
-    /// Whether it says that it has just started.
+    /// Whether the endpoint reports that it has just started.
     #[must_use]
     pub const fn cold(&self) -> bool {
         self.cold
     }
 
-    /// Whether its last probe failed.
+    /// Whether the last probe failed.
     #[must_use]
-    pub const fn is_silent(&self) -> bool {
-        self.fails > 0
+    pub const fn has_failed_probe(&self) -> bool {
+        self.consecutive_failures > 0
     }
 
-    /// Orders that it says are running, `None` before the first report.
+    /// Number of running orders that the endpoint reports; `None` before the
+    /// first report.
     #[must_use]
     pub const fn reported_running(&self) -> Option<u32> {
         self.reported_running
     }
 
-    /// An order was refused because the endpoint is leaving.
-    pub const fn refused_as_draining(&mut self) {
+    /// Records that an order was refused because the endpoint is draining.
+    pub const fn on_draining_refusal(&mut self) {
         self.draining = true;
     }
 
-    /// Takes in the outcome of a probe.
-    pub const fn probed(
+    /// Records the outcome of a probe.
+    pub const fn on_probe_done(
         &mut self,
         ticket: Ticket,
         report: &ProbeReport,
@@ -94,22 +95,22 @@
         now: Mono,
     ) {
         match *report {
-            ProbeReport::Failed => self.failed(cfg, now),
+            ProbeReport::Failed => self.on_failure(cfg, now),
             ProbeReport::Answered {
                 stale_epoch,
                 draining,
                 running,
                 cold,
             } => {
-                self.fails = 0;
+                self.consecutive_failures = 0;
                 self.reach = Reach::Healthy;
-                self.answered = now;
-                // Reports that overtake each other: an older one, from before
-                // the endpoint began to drain, would send it new work again.
-                if ticket < self.newest {
+                self.last_answered = now;
+                // Reports can arrive out of order. An older one, from before
+                // the endpoint began to drain, must not end the drain.
+                if ticket < self.newest_ticket {
                     return;
                 }
-                self.newest = ticket;
+                self.newest_ticket = ticket;
                 self.draining = draining;
                 self.stale = stale_epoch;
                 self.cold = cold;
@@ -118,10 +119,10 @@
         }
     }
 
-    const fn failed(&mut self, cfg: &DispatchSettings, now: Mono) {
-        self.fails = self.fails.saturating_add(1);
-        let long = now.since(self.answered) >= cfg.lost_after_ms;
-        if long && self.fails >= cfg.lost_after_fails {
+    const fn on_failure(&mut self, cfg: &DispatchSettings, now: Mono) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        let long = now.since(self.last_answered) >= cfg.lost_after_ms;
+        if long && self.consecutive_failures >= cfg.lost_after_fails {
             self.reach = Reach::Unreachable;
             return;
         }
--- a/crates/citronway-core/src/dispatch/settling.rs
+++ b/crates/citronway-core/src/dispatch/settling.rs
@@ -1,9 +1,9 @@
-//! How requests come to their outcome.
+//! Final outcomes of requests: answers, refusals, cancellations, expiry.
 
-use super::arriving::running_elsewhere;
+use super::arriving::duplicate_timeout;
 use super::machine::Dispatcher;
 use super::message::Turn;
-use super::queue::Waiting;
+use super::queue::QueuedRequest;
 use super::slots::{Order, OrderState};
 use crate::ids::RequestId;
 use crate::node::events::{OrderReply, RefusedReason, Ticket};
@@ -17,22 +17,23 @@
                 let Some(order) = self.slots.free(ticket) else {
                     return;
                 };
-                self.learn(&order, turn);
+                self.record_service_time(&order, turn);
                 self.settle(&order, Outcome::Answered(answer));
             }
             OrderReply::Refused { reason } => self.on_refused(ticket, reason, turn),
             OrderReply::NotSent => {
                 self.settle_not_run(ticket, NotRunReason::EndpointUnreachable);
             }
-            OrderReply::Lost => self.unresolved(ticket, MayHaveRunReason::ConnectionLost, turn),
-            OrderReply::Foreign => self.unresolved(ticket, MayHaveRunReason::BadAnswer, turn),
-            OrderReply::Timeout => self.unresolved(ticket, MayHaveRunReason::Timeout, turn),
+            OrderReply::Lost => self.on_unresolved(ticket, MayHaveRunReason::ConnectionLost, turn),
+            OrderReply::Foreign => self.on_unresolved(ticket, MayHaveRunReason::BadAnswer, turn),
+            OrderReply::Timeout => self.on_unresolved(ticket, MayHaveRunReason::Timeout, turn),
         }
     }
 
-    /// The endpoint has answered a cancellation. A slot is freed only by its
-    /// word. What the caller was told stands: a non-idempotent request that
-    /// may have run is not run again, since it may have begun before.
+    /// Handles the endpoint's answer to a cancellation. Only a confirmation frees
+    /// the slot. An outcome that the caller already has stays: a non-idempotent
+    /// request that may have run is not run again, since it may have started
+    /// before it was cancelled.
     pub(super) fn on_cancel_done(&mut self, id: RequestId, confirmed: bool) {
         if !confirmed {
             return;
@@ -42,47 +43,49 @@
         }
     }
 
-    /// Answers everybody whose time is over.
+    /// Answers waiters, queued requests and orders whose deadline has come, and
+    /// frees the slots of orders that cannot act any more.
     pub(super) fn expire(&mut self, turn: Turn) {
         let now = turn.now.wall;
         for waiter in self.waiters.expire(now) {
-            self.reply(waiter.origin, running_elsewhere());
+            self.reply(waiter.origin, duplicate_timeout());
         }
         for waiting in self.queue.expire(now) {
             self.give_up(&waiting, NotRunReason::Expired);
         }
-        // An order whose transport never reports back must not leave its
-        // caller without an answer, so the deadline is watched here too.
+        // The transport may never report an order's outcome. The caller must
+        // still get an answer, so the deadline is checked here too.
         for ticket in self.slots.overdue(now) {
-            self.unresolved(ticket, MayHaveRunReason::Timeout, turn);
+            self.on_unresolved(ticket, MayHaveRunReason::Timeout, turn);
         }
-        for ticket in self.slots.over(now, self.cfg.skew_ms) {
+        for ticket in self.slots.expired(now, self.cfg.skew_ms) {
             self.slots.free(ticket);
         }
     }
 
-    /// Answers a request that leaves the queue without having been sent.
-    pub(super) fn give_up(&mut self, waiting: &Waiting, reason: NotRunReason) {
+    /// Answers a request that left the queue without being sent as not run.
+    pub(super) fn give_up(&mut self, waiting: &QueuedRequest, reason: NotRunReason) {
         let outcome = Outcome::NotRun(NotRun::new(reason, self.retry_after_ms(reason)));
         let req = &waiting.request;
-        self.conclude(waiting.origin, req.id, req.repeat, outcome);
+        self.reply_to_all(waiting.origin, req.id, req.repeat, outcome);
     }
 
-    /// Answers all that wait in the queue.
+    /// Empties the queue and answers every request in it as not run.
     pub(super) fn give_up_all(&mut self, reason: NotRunReason) {
         for waiting in self.queue.drain() {
             self.give_up(&waiting, reason);
         }
     }
 
-    fn learn(&mut self, order: &Order, turn: Turn) {
+    fn record_service_time(&mut self, order: &Order, turn: Turn) {
         let now = turn.now.mono;
-        self.times.learn(&order.class, now.since(order.sent));
-        if self.times.is_slow(&order.class) {
-            self.limit.slowed(self.times.mean_ms(), now);
+        self.service_times
+            .record(&order.class, now.since(order.sent));
+        if self.service_times.is_slow(&order.class) {
+            self.limit.on_slow_answer(self.service_times.mean_ms(), now);
             return;
         }
-        self.limit.answered();
+        self.limit.on_answered();
     }
 
     fn on_refused(&mut self, ticket: Ticket, reason: RefusedReason, turn: Turn) {
@@ -93,11 +96,12 @@
             RefusedReason::Shed => NotRunReason::EndpointShed,
         };
         if reason == NotRunReason::EndpointShed {
-            self.limit.shed(self.times.mean_ms(), turn.now.mono);
+            self.limit
+                .on_shed(self.service_times.mean_ms(), turn.now.mono);
         }
         self.settle_not_run(ticket, reason);
         if reason == NotRunReason::Draining {
-            self.health.refused_as_draining();
+            self.health.on_draining_refusal();
             self.give_up_all(NotRunReason::Draining);
         }
     }
@@ -110,9 +114,9 @@
         self.settle(&order, outcome);
     }
 
-    /// The outcome of an order will not come. Its caller is answered at once;
-    /// its slot stays taken, see [`super::slots::Slots`].
-    fn unresolved(&mut self, ticket: Ticket, reason: MayHaveRunReason, turn: Turn) {
+    /// Marks an order whose outcome is unknown. Its caller is answered at once;
+    /// its slot stays occupied, see [`super::slots::Slots`].
+    fn on_unresolved(&mut self, ticket: Ticket, reason: MayHaveRunReason, turn: Turn) {
         let Some(order) = self.slots.get_mut(ticket) else {
             return;
         };
@@ -121,7 +125,8 @@
         }
         order.state = OrderState::Unresolved;
         let order = order.clone();
-        self.limit.unanswered(self.times.mean_ms(), turn.now.mono);
+        self.limit
+            .on_unanswered(self.service_times.mean_ms(), turn.now.mono);
         self.ask_cancel(ticket);
         let may = MayHaveRun {
             reason,
@@ -130,8 +135,9 @@
         self.settle_running(&order, Outcome::MayHaveRun(may));
     }
 
-    /// Settles an order that has left its slot. One that was unresolved has
-    /// had its reply; only an answer adds to what is known of it.
+    /// Records the outcome of an order that has left its slot. The caller of an
+    /// unresolved order already has a reply; only an answer is recorded for
+    /// later duplicates.
     fn settle(&mut self, order: &Order, outcome: Outcome) {
         if order.state == OrderState::Running {
             return self.settle_running(order, outcome);
@@ -143,11 +149,11 @@
     }
 
     fn settle_running(&mut self, order: &Order, outcome: Outcome) {
-        self.conclude(order.origin, order.id, order.repeat, outcome);
+        self.reply_to_all(order.origin, order.id, order.repeat, outcome);
     }
 
-    /// Gives an outcome to its caller and to everybody who repeated it.
-    fn conclude(&mut self, origin: Ticket, id: RequestId, repeat: Repeat, outcome: Outcome) {
+    /// Sends an outcome to the caller and to all duplicates that wait for it.
+    fn reply_to_all(&mut self, origin: Ticket, id: RequestId, repeat: Repeat, outcome: Outcome) {
         if repeat == Repeat::NonIdempotent {
             self.duplicates.settle(id, &outcome);
             for waiter in self.waiters.take(id) {
--- a/crates/citronway-core/src/dispatch/share.rs
+++ b/crates/citronway-core/src/dispatch/share.rs
@@ -1,32 +1,33 @@
-//! Share of an endpoint's slots that a class is kept alive with.
+//! Guaranteed share of an endpoint's slots for a class.
 //!
-//! Counted in slot time and not in orders: batch orders that take a hundred
-//! times longer than interactive ones would otherwise take nearly all slots
-//! with a tenth of the orders.
+//! The share is counted in slot time and not in orders: otherwise batch orders
+//! that take a hundred times longer than interactive ones would take nearly all
+//! slots with a tenth of the orders.
 
 use crate::time::Mono;
 
-/// A class that has had more than its share for long is back in line after this.
-const LONGEST_DEBT_MS: i64 = 1_000;
+/// Maximum excess slot time of a class, in milliseconds of its share: after this
+/// time without service it is no longer over its share.
+const MAX_OVERUSE_MS: i64 = 1_000;
 
-/// A class that was passed over is owed no more than this.
-const LONGEST_CREDIT_MS: i64 = 1_000;
+/// Maximum slot time owed to a class, in milliseconds of its share.
+const MAX_CREDIT_MS: i64 = 1_000;
 
-/// Hundredths in a whole.
-const WHOLE: i64 = 100;
+/// Whole share, in hundredths.
+const WHOLE_HUNDREDTHS: i64 = 100;
 
-/// Account of one class: slot time due minus slot time had.
+/// Balance of one class: slot time due to it minus slot time used by it.
 #[derive(Debug, Clone)]
-pub struct Share {
+pub struct KeptShare {
     hundredths: u8,
-    /// In hundredths of a slot, times milliseconds.
+    /// In hundredths of a slot times milliseconds; positive if slot time is owed.
     balance: i64,
-    /// `None` before the first count.
+    /// End of the time counted so far; `None` before the first count.
     counted_until: Option<Mono>,
 }
 
-impl Share {
-    /// An even account. More than the whole is taken for the whole.
+impl KeptShare {
+    /// Creates a balance of zero. A share above 100 hundredths counts as 100.
     #[must_use]
     pub const fn new(hundredths: u8) -> Self {
         Self {
@@ -42,15 +43,16 @@
         self.hundredths
     }
 
-    /// Slot time that the class has had too little, zero if none.
+    /// Slot time owed to the class, in hundredths of a slot times milliseconds;
+    /// zero if none.
     #[must_use]
-    pub const fn owed(&self) -> i64 {
+    pub const fn deficit(&self) -> i64 {
         if self.balance > 0 { self.balance } else { 0 }
     }
 
-    /// Counts the time since the last call. `held` slots are used by the class
-    /// out of `limit`. Nothing is owed to a class that has no work `waiting`.
-    pub fn pass_time(&mut self, now: Mono, limit: u32, held: u32, waiting: bool) {
+    /// Counts the time since the last call, during which the class used `used`
+    /// slots out of `limit`. A class without `waiting` requests is owed nothing.
+    pub fn pass_time(&mut self, now: Mono, limit: u32, used: u32, waiting: bool) {
         let since = self.counted_until.unwrap_or(now);
         let passed = i64::try_from(now.since(since)).unwrap_or(i64::MAX);
         self.counted_until = Some(since.max(now));
@@ -58,9 +60,12 @@
             return;
         }
         let due = i64::from(limit) * i64::from(self.hundredths);
-        let change = (due - WHOLE * i64::from(held)).saturating_mul(passed);
-        let most = if waiting { due * LONGEST_CREDIT_MS } else { 0 };
-        let least = -due * LONGEST_DEBT_MS;
-        self.balance = self.balance.saturating_add(change).clamp(least, most);
+        let change = (due - WHOLE_HUNDREDTHS * i64::from(used)).saturating_mul(passed);
+        let max_balance = if waiting { due * MAX_CREDIT_MS } else { 0 };
+        let min_balance = -due * MAX_OVERUSE_MS;
+        self.balance = self
+            .balance
+            .saturating_add(change)
+            .clamp(min_balance, max_balance);
     }
 }
