--- a/crates/citronway-core/src/gateway/placement.rs
+++ b/crates/citronway-core/src/gateway/placement.rs
@@ -3,7 +3,7 @@
 //! Keys of draining and lost endpoints are moved first, then idle endpoints get keys, and then
 //! the load is balanced: the most loaded endpoint gives a part of its hottest range to the least
 //! loaded one. A move has a cost, so it must bring the two loads clearly closer. While some
-//! endpoints have queues, only these shift_load keys away.
+//! endpoints have queues, only these give keys away.
 
 use indexmap::IndexMap;
 
@@ -114,7 +114,7 @@
 
 struct Plan<'a> {
     input: &'a PlacementInput<'a>,
-    places: IndexMap<&'a EndpointStart, &'a PlacementEndpoint>,
+    endpoints: IndexMap<&'a EndpointStart, &'a PlacementEndpoint>,
     /// Load of each endpoint after all moves.
     load: IndexMap<&'a EndpointStart, f64>,
     /// Number of requests from which these loads were calculated.
@@ -153,7 +153,7 @@
 
 impl<'a> Plan<'a> {
     fn new(input: &'a PlacementInput<'a>) -> Self {
-        let places: IndexMap<_, _> = input.endpoints.iter().map(|p| (&p.endpoint, p)).collect();
+        let endpoints: IndexMap<_, _> = input.endpoints.iter().map(|p| (&p.endpoint, p)).collect();
         let mut load: IndexMap<_, _> = input.endpoints.iter().map(|p| (&p.endpoint, 0.0)).collect();
         let mut samples = IndexMap::<_, f64>::new();
         let mut piece_counts = IndexMap::<_, usize>::new();
@@ -161,7 +161,9 @@
         for range in &input.row.ranges {
             let owner = &range.next.as_ref().unwrap_or(&range.holder).endpoint;
             let span = range.span();
-            let queued = places.get(owner).is_some_and(|place| place.has_queue);
+            let queued = endpoints
+                .get(owner)
+                .is_some_and(|candidate| candidate.has_queue);
             let window = input.load.window_for(span, queued);
             let piece_load = input.load.rates(window).of(span);
             let piece_samples = input.load.rates(window).samples(span);
@@ -181,7 +183,7 @@
         let moving = pieces.iter().filter(|piece| piece.moving).count();
         Self {
             input,
-            places,
+            endpoints,
             load,
             samples,
             piece_counts,
@@ -204,15 +206,19 @@
         moves
     }
 
-    fn place(&self, endpoint: &EndpointStart) -> Option<&'a PlacementEndpoint> {
-        self.places.get(endpoint).copied()
+    fn endpoint(&self, endpoint: &EndpointStart) -> Option<&'a PlacementEndpoint> {
+        self.endpoints.get(endpoint).copied()
     }
 
     /// Part of an endpoint's capacity that is used after the plan and with `more` load, in requests a
     /// second.
-    fn usage(&self, place: &PlacementEndpoint, more: f64) -> f64 {
-        let load = self.load.get(&place.endpoint).copied().unwrap_or_default();
-        (load + more) / place.capacity.max(f64::MIN_POSITIVE)
+    fn usage(&self, candidate: &PlacementEndpoint, more: f64) -> f64 {
+        let load = self
+            .load
+            .get(&candidate.endpoint)
+            .copied()
+            .unwrap_or_default();
+        (load + more) / candidate.capacity.max(f64::MIN_POSITIVE)
     }
 
     /// Usage up to which endpoints are filled for balance: [`FILL_TO`], or the average usage of the
@@ -228,10 +234,10 @@
     }
 
     /// Lower bound of the used part of an endpoint's capacity, from the number of samples.
-    fn min_usage(&self, place: &PlacementEndpoint) -> f64 {
-        let samples = self.samples.get(&place.endpoint).copied();
+    fn min_usage(&self, candidate: &PlacementEndpoint) -> f64 {
+        let samples = self.samples.get(&candidate.endpoint).copied();
         let samples = samples.unwrap_or_default();
-        self.usage(place, 0.0) * (1.0 - DOUBT_ERRORS / samples.max(1.0).sqrt())
+        self.usage(candidate, 0.0) * (1.0 - DOUBT_ERRORS / samples.max(1.0).sqrt())
     }
 
     /// The endpoint that would be used least after getting `more` load; `None` if none accepts keys.
@@ -292,8 +298,8 @@
         while i < self.pieces.len() {
             let piece = self.pieces[i];
             let stays = self
-                .place(piece.owner)
-                .is_some_and(|place| !place.must_drain);
+                .endpoint(piece.owner)
+                .is_some_and(|candidate| !candidate.must_drain);
             if !stays {
                 self.split_to_fit(i);
                 let load = self.pieces[i].load;
@@ -324,16 +330,16 @@
 
     /// Gives keys to endpoints that have none.
     fn fill_idle(&mut self) {
-        for place in self.input.endpoints {
+        for candidate in self.input.endpoints {
             let idle = self
                 .piece_counts
-                .get(&place.endpoint)
+                .get(&candidate.endpoint)
                 .is_none_or(|count| *count == 0);
-            if !place.accepts_keys || place.must_drain || !idle {
+            if !candidate.accepts_keys || candidate.must_drain || !idle {
                 continue;
             }
             for source in self.by_usage() {
-                if self.shift_load(source, place, 0.0) {
+                if self.shift_load(source, candidate, 0.0) {
                     break;
                 }
             }
@@ -342,8 +348,8 @@
 
     /// Balances the load while an endpoint is overloaded.
     fn balance(&mut self) {
-        let most = (self.input.endpoints.len() / ENDPOINTS_PER_MOVE).max(MIN_CONCURRENT_MOVES);
-        for _ in self.in_motion..most {
+        let max_moves = (self.input.endpoints.len() / ENDPOINTS_PER_MOVE).max(MIN_CONCURRENT_MOVES);
+        for _ in self.moving..max_moves {
             let Some(to) = self.least_used(0.0) else {
                 return;
             };
@@ -366,7 +372,7 @@
     /// Number of pieces above which small pieces are merged and ranges are no longer split to fit.
     fn max_pieces(&self) -> usize {
         let wanted = self.input.endpoints.len() * PIECES_PER_ENDPOINT;
-        // A row that is full takes no split, and hot ranges stay whole.
+        // A full row has no room for splits, so hot ranges could not be divided.
         wanted.clamp(MIN_PIECES, max_ranges(self.input.endpoints.len()) / 8 * 7)
     }
 
@@ -384,7 +390,7 @@
         for i in free.into_iter().take(at_once) {
             let load = self.pieces[i].load;
             let neighbour = self.pieces[i - 1];
-            let Some(to) = self.place(neighbour.planned_owner()) else {
+            let Some(to) = self.endpoint(neighbour.planned_owner()) else {
                 continue;
             };
             let small = load < to.capacity * MIN_GAIN;
@@ -397,13 +403,13 @@
 
     /// All endpoints, the most used first.
     fn by_usage(&self) -> Vec<&'a PlacementEndpoint> {
-        let places = self.input.endpoints.iter();
-        let mut used: Vec<_> = places.map(|p| (self.usage(p, 0.0), p)).collect();
+        let endpoints = self.input.endpoints.iter();
+        let mut used: Vec<_> = endpoints.map(|p| (self.usage(p, 0.0), p)).collect();
         used.sort_by(|(a, _), (b, _)| b.total_cmp(a));
-        used.into_iter().map(|(_, place)| place).collect()
+        used.into_iter().map(|(_, candidate)| candidate).collect()
     }
 
-    /// Pieces of an endpoint that may be split and given away.
+    /// Indices of the pieces of an endpoint that may be split and moved.
     fn movable(&self, from: &PlacementEndpoint) -> Vec<usize> {
         (0..self.pieces.len())
             .filter(|i| !self.pieces[*i].moving)
@@ -479,8 +485,8 @@
             }
             let after = self.usage(to, moved);
             let small = moved < from.capacity * MIN_GAIN;
-            // Load: where all are full, each window found endpoints that chance had made
-            // fuller than others, and keys changed hands all the time.
+            // Load: where all endpoints are full, each plan finds some that are fuller by chance,
+            // and without this check keys move all the time.
             if min_ratio > 0.0 && (small || self.min_usage(from) <= after * min_ratio) {
                 continue;
             }
