--- a/crates/citronway-core/src/gateway/placement.rs
+++ b/crates/citronway-core/src/gateway/placement.rs
@@ -27,7 +27,8 @@
 /// split and moved without need.
 const DOUBT_ERRORS: f64 = 0.7;
 
-/// Factor by which the source must still be fuller than the target after a move.
+/// Factor by which the usage of the source must exceed the usage that the target has after a move
+/// for balance.
 const MIN_RATIO: f64 = 1.15;
 
 /// Minimum part of the source's capacity that a move for balance must free. A move costs two
@@ -440,8 +441,8 @@
     /// Moves a part of a piece from one endpoint to another: of the hottest piece for which this
     /// helps. Returns false if there is none.
     ///
-    /// `min_ratio` is the factor by which `from` must still be fuller than `to` after the move; zero
-    /// for a target without keys.
+    /// `min_ratio` is the factor by which the usage of `from` must exceed the usage that `to` has
+    /// after the move; zero for a target without keys.
     fn shift_load(
         &mut self,
         from: &'a PlacementEndpoint,
--- a/crates/citronway-core/src/gateway/report.rs
+++ b/crates/citronway-core/src/gateway/report.rs
@@ -1,4 +1,5 @@
-//! What instances tell each other several times a second.
+//! Reports that instances send each other, and the totals that a leader sends, several times a
+//! second.
 
 use std::net::SocketAddr;
 
@@ -8,74 +9,75 @@
 use crate::gateway::rows::{Row, Table};
 use crate::ids::{InstanceName, ServiceName, Session, SessionId};
 
-/// Time between two looks at what there is to report, in milliseconds.
+/// Interval at which an instance collects its observations for a report, in milliseconds.
 pub const REPORT_INTERVAL_MS: u64 = 100;
 
-/// Instances up to which all tell all; with more, they report to a delegate of theirs.
+/// Maximum number of instances at which each reports to all others. In a larger fleet they report
+/// to a delegate.
 ///
-/// Load: among 295 instances that all told all each 0.6 s, one received 490 datagrams a
-/// second on a tenth of a core, and relayed rows came too late or not at all.
+/// Load: with 295 instances that each report to all others every 0.6 s, an instance with a tenth of
+/// a core gets 490 datagrams a second, and relayed rows arrive too late or not at all.
 pub const MAX_FULL_MESH: usize = 12;
 
-/// The same for instances that are listed, while no leader tells how many there are: some
-/// of them are gone for good.
+/// Maximum number of listed instances at which each reports to all others while no leader announces
+/// the number of instances. It is larger because some listed instances no longer exist.
 pub const MAX_LISTED_FULL_MESH: usize = 2 * MAX_FULL_MESH;
 
-/// Most keys that one report carries for a service; more are left out evenly.
+/// Maximum number of keys of a service in one report; if there are more, keys are left out evenly.
 pub const MAX_KEYS: usize = 300;
 
-/// One report of an instance: to all others, or to the one that sums up for it.
+/// Report of an instance to all others or to its delegate.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// Who sends it.
+    /// Name of the sender.
     pub instance: InstanceName,
-    /// Start of its process.
+    /// Session of its process.
     pub session: SessionId,
-    /// Grows with each report of this start; a report that was overtaken is dropped.
+    /// Sequence number within the session; a report that is not newer than the last is dropped.
     pub number: u64,
-    /// It is about to stop.
+    /// Whether it is stopping.
     pub stopping: bool,
-    /// It cannot do a leader's work.
+    /// Whether it cannot lead.
     pub unfit: bool,
-    /// How much of a leader's work its machine could do.
+    /// Part of a leader's work that its machine can do.
     pub strength: Strength,
     /// Highest term of a leader that it knows.
     pub term: u64,
-    /// Newest version of the stored tables that it has seen.
+    /// Newest versions of the stored tables that it has read.
     pub seen: Versions,
-    /// What it has at endpoints or wants to send there.
+    /// Its requests in flight and waiting, and the answers, by endpoint.
     pub endpoints: Vec<EndpointUse>,
-    /// Keys that were asked for since the last report, by service.
+    /// Keys of the requests since the last report, by service.
     pub keys: Vec<KeySamples>,
-    /// Other instances whose reports this one sums up; none where it reports for itself.
+    /// Members whose reports are included; empty unless the sender is a delegate.
     pub members: Vec<MemberState>,
-    /// What was seen of work that may crash endpoints; of a delegate, by its members too.
+    /// Signs of requests that crash endpoints, including those reported by members.
     pub signs: Vec<Sign>,
-    /// Number of the first of these signs; each sign of a start has its own.
+    /// Sequence number of the first of `signs`; the signs of a session are numbered consecutively.
     pub first_sign: u64,
 }
 
-/// An instance whose report another one sums up.
+/// State of an instance whose report is included in the report of its delegate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberState {
-    /// Which instance.
+    /// Name of the instance.
     pub instance: InstanceName,
-    /// Start of its process.
+    /// Session of its process.
     pub session: SessionId,
     /// Time since its last report, in milliseconds.
     pub heard_ago_ms: u16,
     /// Highest term of a leader that it knows.
     pub term: u64,
-    /// It is about to stop.
+    /// Whether it is stopping.
     pub stopping: bool,
-    /// It cannot do a leader's work.
+    /// Whether it cannot lead.
     pub unfit: bool,
-    /// How much of a leader's work its machine could do.
+    /// Part of a leader's work that its machine can do.
     pub strength: Strength,
 }
 
 impl Report {
-    /// What this one says was seen.
+    /// The observations in this report.
     #[must_use]
     pub fn into_observations(self) -> Observations {
         Observations {
@@ -88,16 +90,16 @@
 /// Versions of the tables that an instance follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Versions {
-    /// Operator's configuration.
+    /// Version of the operator's configuration.
     pub config: u64,
-    /// Listed endpoints.
+    /// Version of the listed endpoints.
     pub endpoints: u64,
-    /// Leader and assignments.
+    /// Version of this product's rows, such as the leader and the assignments.
     pub own: u64,
 }
 
 impl Versions {
-    /// The newer ones of two.
+    /// The newer version of each table.
     #[must_use]
     pub fn newer(self, other: Self) -> Self {
         Self {
@@ -107,7 +109,7 @@
         }
     }
 
-    /// That of one table.
+    /// Version of one table.
     #[must_use]
     pub const fn of(&self, table: Table) -> u64 {
         match table {
@@ -121,65 +123,65 @@
 /// Use of one endpoint by one instance.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct EndpointUse {
-    /// Which endpoint.
+    /// Tag of the endpoint.
     pub tag: EndpointTag,
-    /// Requests in flight there.
+    /// Number of requests in flight.
     pub in_flight: u32,
-    /// Requests that wait to be sent there.
+    /// Number of requests that wait to be sent.
     pub waiting: u32,
-    /// Its answers since the last report.
+    /// Answers since the last report.
     pub answers: Answers,
 }
 
-/// What the leader tells all instances of a large fleet, through delegates of their
+/// Totals that the leader sends to all instances of a large fleet, through the delegates of their
 /// availability zones.
 ///
-/// Load: 89 instances have one request each at an endpoint with six slots. Reports of all
-/// of them to all others are too many, and with reports from the own zone alone nobody saw
-/// that it was full: one request in ten waited two seconds at the endpoint, and one in
-/// four was refused there. The leader hears of all, and tells the sums.
+/// Load: 89 instances have one request each at an endpoint with six slots. Reports of each
+/// instance to all others are too many, and with reports from its own zone alone no instance sees
+/// that the endpoint is full: one request in ten waits two seconds at the endpoint, and one in four
+/// is refused there. The leader gets the reports of all and sends the totals.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Totals {
-    /// The leader that tells.
+    /// Session of the leader.
     pub leader: Session,
-    /// Its term.
+    /// Term of the leader.
     pub term: u64,
-    /// Grows with each that it tells.
+    /// Sequence number within the term.
     pub number: u64,
-    /// It is about to stop.
+    /// Whether the leader is stopping.
     pub stopping: bool,
-    /// It cannot do its work.
+    /// Whether the leader cannot do its work.
     pub unfit: bool,
-    /// The store does not answer it.
+    /// Whether the store does not answer the leader.
     pub store_lost: bool,
-    /// How much of a leader's work its machine could do.
+    /// Part of a leader's work that its machine can do.
     pub strength: Strength,
-    /// The stored row that names it.
+    /// The stored row that names the leader, if it is included.
     pub row: Option<Row>,
-    /// Newest versions of the stored tables that any instance has seen.
+    /// Newest versions of the stored tables that any instance has read.
     pub seen: Versions,
-    /// Instances that are heard, the leader included.
+    /// Number of instances with recent reports, including the leader.
     pub instances: u32,
-    /// Who claims the duty first when the leader falls silent, in this order.
+    /// Instances that claim leadership first when the leader falls silent, in this order.
     pub standbys: Vec<InstanceName>,
     /// Endpoints that have, or are about to have, more requests than slots.
     pub endpoints: Vec<EndpointTotal>,
-    /// Estimates for endpoints that are not average; a part of them each time.
+    /// Estimates for endpoints that are not average; a part of them in each message.
     pub paces: Vec<EndpointPace>,
-    /// Work that was taken as harmful.
+    /// Fingerprints of requests that are refused because they crash endpoints.
     pub refused: Vec<RefusedWork>,
-    /// Work that was at several endpoints that crashed.
+    /// Fingerprints of requests that were at several endpoints that crashed.
     pub suspects: Vec<Fingerprint>,
-    /// To a delegate: instances to which it passes this on.
+    /// Addresses to which the receiving delegate forwards the totals; empty for others.
     pub members: Vec<SocketAddr>,
 }
 
-/// How fast an endpoint works and how often it fails, as the leader knows it.
+/// Estimate of how slow an endpoint is and how often it fails.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EndpointPace {
-    /// Which endpoint.
+    /// Tag of the endpoint.
     pub tag: EndpointTag,
-    /// Time that it takes, relative to an average endpoint.
+    /// Time that it takes for a request, relative to an average endpoint.
     pub slowness: f64,
     /// Share of its requests that it fails or refuses.
     pub failing: f64,
@@ -188,25 +190,25 @@
 /// Requests of all instances at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EndpointTotal {
-    /// Which endpoint.
+    /// Tag of the endpoint.
     pub tag: EndpointTag,
-    /// Requests in flight there.
+    /// Number of requests in flight.
     pub in_flight: u32,
-    /// Requests that wait to be sent there.
+    /// Number of requests that wait to be sent.
     pub waiting: u32,
 }
 
-/// What was seen in several looks, to be reported at once.
+/// Observations of one or more intervals, for one report.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Observations {
-    /// Use of each endpoint: the last look's, and all its answers.
+    /// Use of each endpoint: the requests of the last interval and the answers of all.
     pub endpoints: Vec<EndpointUse>,
-    /// Keys that were asked for.
+    /// Keys of the requests.
     pub keys: Vec<KeySamples>,
 }
 
 impl Observations {
-    /// Adds a later look.
+    /// Adds the observations of a later interval.
     pub fn add(&mut self, later: Self) {
         let mut before = std::mem::take(&mut self.endpoints);
         self.endpoints = later.endpoints;
@@ -231,10 +233,10 @@
     }
 }
 
-/// Keys asked for at one service.
+/// Keys of requests to one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeySamples {
-    /// Which service.
+    /// Name of the service.
     pub service: ServiceName,
     /// One entry for each request.
     pub keys: Vec<u16>,
--- a/crates/citronway-core/src/gateway/tree/mod.rs
+++ b/crates/citronway-core/src/gateway/tree/mod.rs
@@ -1,14 +1,15 @@
-//! How reports and sums travel in a large fleet: a tree of three levels.
+//! Three-level tree for reports and totals in a large fleet.
 //!
-//! The leader divides the instances of each availability zone into groups and tells one of
-//! each, its delegate, who is in the group. Members report to whoever passes the leader's
-//! sums on to them; a delegate sums their reports up. Neither the store nor a vote is
-//! needed: two delegates at once, or none for a moment, cost freshness and nothing else.
+//! The leader divides the instances of each availability zone into groups and sends the list of
+//! members to one instance of each group, its delegate. Members report to the instance that
+//! forwards the leader's totals to them, and the delegate aggregates their reports. This needs
+//! neither the store nor a vote: two delegates at once, or none for a short time, only make the
+//! data older.
 //!
-//! In a group of the square root of all, the leader and each delegate exchange messages
-//! with about the square root of all instances, and a member with one.
+//! With groups of the size of the square root of the fleet, the leader and each delegate exchange
+//! messages with about that many instances, and a member with one.
 
-mod place;
+mod position;
 mod report;
 
 use std::cmp::Reverse;
@@ -20,57 +21,60 @@
 use crate::ids::{InstanceName, ZoneName};
 use crate::time::Mono;
 
-pub use place::{Role, TreePosition};
+pub use position::{Role, TreePosition};
 pub use report::GatheredReports;
 
-/// Time between two of the leader's sums, in milliseconds.
+/// Interval at which the leader sends totals, in milliseconds.
 pub const TOTALS_INTERVAL_MS: u64 = 200;
 
-/// Silence after which a delegate is replaced, in milliseconds: four of its reports.
+/// Silence in milliseconds after which a delegate is replaced: four of its reports.
 ///
-/// Its members hear the next one 0.2 s later, well before they take the leader for silent.
+/// Its members get totals from the next delegate 0.2 s later, well before they consider the leader
+/// silent.
 const DELEGATE_SILENT_MS: u64 = 400;
 
-/// Silence after which an instance leaves its group and is called by the leader itself, in
-/// milliseconds: long enough that it survives a change of its delegate.
+/// Silence in milliseconds after which an instance is removed from its group and probed by the
+/// leader itself. It is long enough to outlast a change of the delegate.
 const MEMBER_SILENT_MS: u64 = 1_500;
 
-/// First and longest time between two calls of a silent instance, in milliseconds: one that
-/// has come back is found within 2 s, and the calls of 6,000 lost ones are 3,000 a second.
-const CALL_MS: (u64, u64) = (200, 2_000);
+/// Shortest and longest interval between two probes of a silent instance, in milliseconds. A
+/// returned instance is found within 2 s, and probing 6,000 lost ones takes 3,000 messages a
+/// second.
+const PROBE_INTERVAL_MS: (u64, u64) = (200, 2_000);
 
-/// How long an instance that lost touch with its delegate, but not with the leader, is
-/// kept out of that group, in milliseconds.
-const ELSEWHERE_MS: u64 = 5_000;
+/// Time in milliseconds for which an instance that lost contact with its delegate, but not with the
+/// leader, is not put into that group again.
+const AVOID_DELEGATE_MS: u64 = 5_000;
 
-/// Groups may be so much larger than the square root of all before a new one is opened.
+/// Factor, as numerator and denominator, by which a group may exceed the square root of the fleet
+/// size.
 const GROUP_SLACK: (usize, usize) = (3, 2);
 
-/// An instance that could be told, as the leader knows it.
+/// An instance that can be part of the tree, as the leader knows it.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// Name of the instance.
     pub instance: &'a InstanceName,
-    /// Where it takes datagrams.
+    /// Address on which it receives datagrams.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: &'a ZoneName,
-    /// When a report of its own, or one that sums it up, was last heard.
+    /// Time of the last report of it, its own or a delegate's; `None` without any.
     pub heard: Option<Mono>,
-    /// When a report of its own was last heard.
+    /// Time of the last report that it sent itself; `None` without any.
     pub heard_directly: Option<Mono>,
-    /// How much of a leader's work its machine could do.
+    /// Part of a leader's work that its machine can do.
     pub strength: Strength,
-    /// It goes on working.
+    /// Whether it is not stopping.
     pub is_staying: bool,
 }
 
-/// To whom the leader sends its sums, and who passes them on to whom.
+/// A recipient of the leader's totals and the members to which it forwards them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Branch {
-    /// Who is sent to.
+    /// Address of the recipient.
     pub to: SocketAddr,
-    /// To whom it passes them on.
+    /// Addresses to which the recipient forwards the totals.
     pub members: Vec<SocketAddr>,
 }
 
@@ -78,57 +82,63 @@
 struct Group {
     zone: ZoneName,
     delegate: InstanceName,
-    /// When the delegate was chosen.
+    /// Time at which the delegate was chosen.
     since: Mono,
     members: Vec<InstanceName>,
 }
 
+/// Last probe of a silent instance.
 #[derive(Debug, Clone, Copy)]
-struct Call {
+struct Probe {
     at: Mono,
+    /// Time until the next probe, in milliseconds.
     pause_ms: u64,
 }
 
-/// The leader's division of all instances into groups.
+/// Assignment of all instances to groups, as the leader keeps it.
 #[derive(Debug, Default)]
 pub struct Tree {
     groups: Vec<Group>,
-    /// Silent instances: when each was called last.
-    calls: IndexMap<InstanceName, Call>,
-    /// Delegates with whom an instance lost touch, and when.
-    lost_touch: IndexMap<InstanceName, (InstanceName, Mono)>,
+    /// Last probe of each silent instance.
+    probes: IndexMap<InstanceName, Probe>,
+    /// Delegate with which an instance lost contact, and the time of it.
+    lost_contact: IndexMap<InstanceName, (InstanceName, Mono)>,
 }
 
 impl Tree {
-    /// Forgets all groups, as a new leader does.
+    /// Removes all groups. A new leader calls this.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// Groups at present: the delegate and the number of its members.
+    /// Delegate and number of members of each group.
     pub fn groups(&self) -> impl Iterator<Item = (&InstanceName, usize)> {
         let groups = self.groups.iter();
         groups.map(|group| (&group.delegate, group.members.len()))
     }
 
-    /// Brings the groups up to date; returns to whom to send now.
+    /// Updates the groups and returns the recipients of the totals to be sent now.
     pub fn plan(&mut self, now: Mono, all: &[Candidate<'_>]) -> Vec<Branch> {
-        let by_name: IndexMap<_, _> = all.iter().map(|one| (one.instance, one)).collect();
+        let by_name: IndexMap<_, _> = all
+            .iter()
+            .map(|candidate| (candidate.instance, candidate))
+            .collect();
         let is_heard = |name: &InstanceName| {
-            let one = by_name.get(name);
-            one.is_some_and(|one| is_within(now, one.heard, MEMBER_SILENT_MS))
+            let candidate = by_name.get(name);
+            candidate.is_some_and(|candidate| is_within(now, candidate.heard, MEMBER_SILENT_MS))
         };
-        self.drop_silent(now, &by_name, &is_heard);
+        self.remove_silent(now, &by_name, &is_heard);
         self.replace_delegates(now, &by_name);
-        self.place_homeless(now, all, &is_heard);
+        self.place_ungrouped(now, all, &is_heard);
         let mut branches = self.branches(&by_name);
-        let silent = all.iter().filter(|one| !is_heard(one.instance));
-        self.calls.retain(|name, _| !is_heard(name));
-        branches.extend(silent.filter_map(|one| self.call(now, one)));
+        let silent = all.iter().filter(|candidate| !is_heard(candidate.instance));
+        self.probes.retain(|name, _| !is_heard(name));
+        branches.extend(silent.filter_map(|candidate| self.probe(now, candidate)));
         branches
     }
 
-    fn drop_silent(
+    /// Removes silent and unlisted members from their groups.
+    fn remove_silent(
         &mut self,
         now: Mono,
         by_name: &IndexMap<&InstanceName, &Candidate<'_>>,
@@ -136,108 +146,125 @@
     ) {
         for group in &mut self.groups {
             let delegate = &group.delegate;
-            let lost_touch = &mut self.lost_touch;
+            let lost_contact = &mut self.lost_contact;
             group.members.retain(|name| {
                 let heard = is_heard(name);
                 if !heard {
-                    lost_touch.insert(name.clone(), (delegate.clone(), now));
+                    lost_contact.insert(name.clone(), (delegate.clone(), now));
                 }
                 heard && by_name.contains_key(name)
             });
         }
-        self.lost_touch
-            .retain(|_, (_, at)| now.since(*at) < ELSEWHERE_MS);
+        self.lost_contact
+            .retain(|_, (_, at)| now.since(*at) < AVOID_DELEGATE_MS);
     }
 
-    /// Has another member take over where a delegate is silent or ends.
+    /// Chooses another member as delegate where the delegate is silent or stopping, and removes
+    /// groups without members whose delegate is silent.
     fn replace_delegates(&mut self, now: Mono, by_name: &IndexMap<&InstanceName, &Candidate<'_>>) {
         let works = |name: &InstanceName, since: Mono| {
-            by_name.get(name).is_some_and(|one| {
-                let heard = one.heard_directly.max(Some(since));
-                one.is_staying && is_within(now, heard, DELEGATE_SILENT_MS)
+            by_name.get(name).is_some_and(|candidate| {
+                let heard = candidate.heard_directly.max(Some(since));
+                candidate.is_staying && is_within(now, heard, DELEGATE_SILENT_MS)
             })
         };
         for group in &mut self.groups {
             if works(&group.delegate, group.since) {
                 continue;
             }
-            let able = group.members.iter().filter_map(|name| by_name.get(name));
-            let able = able.filter(|one| one.is_staying);
-            let next = able.max_by_key(|one| (one.strength, one.heard, Reverse(one.instance)));
-            let Some(next) = next.map(|one| one.instance.clone()) else {
+            let members = group.members.iter().filter_map(|name| by_name.get(name));
+            let eligible = members.filter(|candidate| candidate.is_staying);
+            let next = eligible.max_by_key(|candidate| {
+                (
+                    candidate.strength,
+                    candidate.heard,
+                    Reverse(candidate.instance),
+                )
+            });
+            let Some(next) = next.map(|candidate| candidate.instance.clone()) else {
                 continue;
             };
             group.members.retain(|name| *name != next);
             let before = std::mem::replace(&mut group.delegate, next);
             group.since = now;
-            // It stays as a member for as long as anything is heard of it.
+            // The former delegate remains a member until it is silent.
             group.members.push(before);
         }
         self.groups.retain(|group| {
-            let heard = by_name.get(&group.delegate).and_then(|one| one.heard);
+            let heard = by_name
+                .get(&group.delegate)
+                .and_then(|candidate| candidate.heard);
             !group.members.is_empty() || is_within(now, heard, MEMBER_SILENT_MS)
         });
     }
 
-    /// Puts instances that are heard and in no group into one of their zone.
-    fn place_homeless(
+    /// Adds each instance with recent reports that is in no group to a group of its zone, or makes it
+    /// the delegate of a new group.
+    fn place_ungrouped(
         &mut self,
         now: Mono,
         all: &[Candidate<'_>],
         is_heard: &impl Fn(&InstanceName) -> bool,
     ) {
-        let heard = all.iter().filter(|one| is_heard(one.instance)).count();
+        let heard = all
+            .iter()
+            .filter(|candidate| is_heard(candidate.instance))
+            .count();
         let size = heard.isqrt().max(1);
-        let housed: indexmap::IndexSet<_> = self
+        let grouped: indexmap::IndexSet<_> = self
             .groups
             .iter()
             .flat_map(|group| group.members.iter().chain([&group.delegate]))
             .cloned()
             .collect();
-        let homeless =
-            |one: &&Candidate<'_>| is_heard(one.instance) && !housed.contains(one.instance);
-        let mut homeless: Vec<_> = all.iter().filter(homeless).collect();
-        // The strongest first: those that open a group are its delegates.
-        homeless.sort_by_key(|one| {
+        let ungrouped = |candidate: &&Candidate<'_>| {
+            is_heard(candidate.instance) && !grouped.contains(candidate.instance)
+        };
+        let mut ungrouped: Vec<_> = all.iter().filter(ungrouped).collect();
+        // The strongest first, because the instance that opens a group is its delegate.
+        ungrouped.sort_by_key(|candidate| {
             (
-                one.zone,
-                Reverse((one.is_staying, one.strength)),
-                one.instance,
+                candidate.zone,
+                Reverse((candidate.is_staying, candidate.strength)),
+                candidate.instance,
             )
         });
-        let mut zones = IndexMap::<&ZoneName, usize>::new();
-        for one in &homeless {
-            *zones.entry(one.zone).or_default() += 1;
+        let mut zone_sizes = IndexMap::<&ZoneName, usize>::new();
+        for candidate in &ungrouped {
+            *zone_sizes.entry(candidate.zone).or_default() += 1;
         }
         for group in &self.groups {
-            if let Some(count) = zones.get_mut(&group.zone) {
+            if let Some(count) = zone_sizes.get_mut(&group.zone) {
                 *count += group.members.len() + 1;
             }
         }
-        for one in homeless {
-            let wanted = zones
-                .get(one.zone)
+        for candidate in ungrouped {
+            let wanted = zone_sizes
+                .get(candidate.zone)
                 .map_or(1, |count| count.div_ceil(size + 1));
             let most = size * GROUP_SLACK.0 / GROUP_SLACK.1;
-            let avoided = self.lost_touch.get(one.instance).map(|(name, _)| name);
-            let there = self
+            let avoided = self
+                .lost_contact
+                .get(candidate.instance)
+                .map(|(name, _)| name);
+            let groups_in_zone = self
                 .groups
                 .iter()
-                .filter(|group| group.zone == *one.zone)
+                .filter(|group| group.zone == *candidate.zone)
                 .count();
             let room = self.groups.iter_mut().filter(|group| {
-                group.zone == *one.zone
+                group.zone == *candidate.zone
                     && group.members.len() < most
                     && avoided != Some(&group.delegate)
             });
             let least = room.min_by_key(|group| group.members.len());
             match least {
-                Some(group) if there >= wanted || !one.is_staying => {
-                    group.members.push(one.instance.clone());
+                Some(group) if groups_in_zone >= wanted || !candidate.is_staying => {
+                    group.members.push(candidate.instance.clone());
                 }
                 _ => self.groups.push(Group {
-                    zone: one.zone.clone(),
-                    delegate: one.instance.clone(),
+                    zone: candidate.zone.clone(),
+                    delegate: candidate.instance.clone(),
                     since: now,
                     members: Vec::new(),
                 }),
@@ -245,8 +272,9 @@
         }
     }
 
+    /// The delegates and members of all groups, as recipients of the totals.
     fn branches(&self, by_name: &IndexMap<&InstanceName, &Candidate<'_>>) -> Vec<Branch> {
-        let address = |name: &InstanceName| by_name.get(name).map(|one| one.address);
+        let address = |name: &InstanceName| by_name.get(name).map(|candidate| candidate.address);
         let groups = self.groups.iter().filter_map(|group| {
             Some(Branch {
                 to: address(&group.delegate)?,
@@ -256,21 +284,25 @@
         groups.collect()
     }
 
-    fn call(&mut self, now: Mono, one: &Candidate<'_>) -> Option<Branch> {
-        let before = self.calls.get(one.instance).copied();
-        if before.is_some_and(|call| now.since(call.at) < call.pause_ms) {
+    /// Probes a silent instance by sending it the totals; `None` if the next probe is not due yet.
+    fn probe(&mut self, now: Mono, candidate: &Candidate<'_>) -> Option<Branch> {
+        let before = self.probes.get(candidate.instance).copied();
+        if before.is_some_and(|probe| now.since(probe.at) < probe.pause_ms) {
             return None;
         }
-        let pause_ms = before.map_or(CALL_MS.0, |call| (call.pause_ms * 2).min(CALL_MS.1));
-        let call = Call { at: now, pause_ms };
-        self.calls.insert(one.instance.clone(), call);
+        let pause_ms = before.map_or(PROBE_INTERVAL_MS.0, |probe| {
+            (probe.pause_ms * 2).min(PROBE_INTERVAL_MS.1)
+        });
+        let probe = Probe { at: now, pause_ms };
+        self.probes.insert(candidate.instance.clone(), probe);
         Some(Branch {
-            to: one.address,
+            to: candidate.address,
             members: Vec::new(),
         })
     }
 }
 
+/// Whether `at` is less than `limit_ms` ago; false for `None`.
 fn is_within(now: Mono, at: Option<Mono>, limit_ms: u64) -> bool {
     at.is_some_and(|at| now.since(at) < limit_ms)
 }
--- a/crates/citronway-core/src/gateway/tree/place.rs
+++ b/crates/citronway-core/src/gateway/tree/position.rs
@@ -1,45 +1,47 @@
-//! Where an instance stands in the tree, by what reaches it.
+//! Position of an instance in the tree, derived from the totals that reach it.
 
 use std::net::SocketAddr;
 
 use crate::gateway::report::Totals;
 use crate::time::Mono;
 
-/// Silence after which whoever passed the sums on no longer counts, in milliseconds.
+/// Silence in milliseconds after which the parent no longer counts.
 const PARENT_SILENT_MS: u64 = 1_000;
 
-/// Time in which a leader that has called an instance names a delegate for it, in
-/// milliseconds: a report and the next sums.
-const NEW_MS: u64 = 450;
+/// Time in milliseconds in which a leader that has probed an instance assigns it a delegate: a
+/// report and the next totals.
+const NEW_PARENT_MS: u64 = 450;
 
-/// What an instance does in the tree.
+/// Role of an instance in the tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Nobody passes sums on to it.
+    /// No totals reach it.
     Alone,
     /// It reports to this address.
     Member(SocketAddr),
-    /// It sums up for others and reports to this address, which is the leader's.
+    /// It aggregates the reports of its members and reports to this address, the leader's.
     Delegate(SocketAddr),
 }
 
-/// Where an instance stands in the tree.
+/// Position of an instance in the tree.
 #[derive(Debug, Default)]
 pub struct TreePosition {
+    /// Address from which the newest totals came, and the time of their receipt.
     parent: Option<(SocketAddr, Mono)>,
-    /// Since when it is this one.
+    /// Time since which the parent has had this address.
     since: Mono,
     members: Vec<SocketAddr>,
-    /// Term and number of the newest sums.
+    /// Term and number of the newest totals.
     newest: (u64, u64),
 }
 
 impl TreePosition {
-    /// Takes sums that came from an address; false if they are known or an earlier leader's.
+    /// Applies totals received from an address. Returns false, without effect, if they are already
+    /// known or those of an earlier leader.
     pub fn accept_totals(&mut self, now: Mono, totals: &Totals, from: SocketAddr) -> bool {
         let at = (totals.term, totals.number);
-        // The same ones may come from the leader too, which then calls this instance: who
-        // names members, or comes first, is the parent.
+        // The same totals may also come from the leader if it probes this instance. The sender of
+        // the first copy is the parent.
         if at <= self.newest {
             return false;
         }
@@ -52,7 +54,7 @@
         true
     }
 
-    /// What this instance does at present.
+    /// Present role of this instance.
     #[must_use]
     pub fn role(&self, now: Mono) -> Role {
         let parent = self.parent;
@@ -64,20 +66,21 @@
         }
     }
 
-    /// Whether this instance has just come to its place: a leader that calls a silent one
-    /// names a delegate for it next.
+    /// Whether the parent is new. The leader that has probed this instance may still assign it a
+    /// delegate.
     #[must_use]
     pub fn is_new(&self, now: Mono) -> bool {
-        now.since(self.since) < NEW_MS
+        now.since(self.since) < NEW_PARENT_MS
     }
 
-    /// To whom a delegate passes on what the leader tells.
+    /// Addresses to which a delegate forwards messages of the leader.
     #[must_use]
     pub fn members(&self) -> &[SocketAddr] {
         &self.members
     }
 
-    /// Whether something from this address is passed on: it is the leader that named them.
+    /// Whether messages from this address are forwarded to the members: it is the parent, and there
+    /// are members.
     #[must_use]
     pub fn forwards_from(&self, from: SocketAddr) -> bool {
         let is_parent = self.parent.is_some_and(|(address, _)| address == from);
--- a/crates/citronway-core/src/gateway/tree/report.rs
+++ b/crates/citronway-core/src/gateway/tree/report.rs
@@ -1,4 +1,4 @@
-//! What a delegate gathers from its members between two reports of its own.
+//! Aggregation of the members' reports by a delegate between two reports of its own.
 
 use indexmap::IndexMap;
 
@@ -6,7 +6,7 @@
 use crate::gateway::report::{EndpointUse, KeySamples, Observations};
 use crate::ids::ServiceName;
 
-/// Answers of endpoints and keys asked for, of several reports.
+/// Sum of the endpoints' answers and the sampled keys of several reports.
 #[derive(Debug, Default)]
 pub struct GatheredReports {
     endpoints: IndexMap<EndpointTag, EndpointUse>,
@@ -14,8 +14,8 @@
 }
 
 impl GatheredReports {
-    /// Takes a report; of what it has in flight only the newest counts, see
-    /// [`GatheredReports::take_with`].
+    /// Adds the answers and keys of a report. Its requests in flight are not added, as only the newest
+    /// numbers count; see [`GatheredReports::take_with`].
     pub fn add(&mut self, endpoints: &[EndpointUse], keys: &[KeySamples]) {
         for used in endpoints {
             let sum = self.entry(used.tag);
@@ -27,8 +27,8 @@
         }
     }
 
-    /// All of it, with what this instance saw and what all have in flight at present;
-    /// nothing is left.
+    /// Takes everything gathered so far and adds the observations of this instance (`own`) and the
+    /// present numbers of the members (`in_flight`: endpoint, requests in flight, requests waiting).
     pub fn take_with(
         &mut self,
         own: &Observations,
