--- a/crates/citronway-core/src/gateway/cold.rs
+++ b/crates/citronway-core/src/gateway/cold.rs
@@ -54,10 +54,10 @@
 pub struct LeaderStanding {
     /// Start of the latest call to the store that confirmed it as leader.
     pub confirmed_at: Mono,
-    /// Times until which earlier leaders may still act.
+    /// Times until which former leaders may still act.
     pub rivals: PredecessorLimits,
-    /// Number of earlier leaders that are not known to have stopped.
-    pub earlier_leaders: u32,
+    /// Number of former leaders that are not known to have stopped.
+    pub former_leaders: u32,
 }
 
 /// Share of all sends that a leader may grant now; `None` if it must grant nothing.
@@ -65,7 +65,7 @@
 /// Failure guarded against: a leader that does not know of its replacement goes on granting
 /// beside its successor, and a cold endpoint gets twice the rate that it can handle. Therefore a
 /// leader that the store has not confirmed for a while leaves half of its share to a possible
-/// successor, and a successor leaves half of its share to each earlier leader for as long as
+/// successor, and a successor leaves half of its share to each former leader for as long as
 /// that may act.
 #[must_use]
 pub fn granted_share(now: Mono, cfg: &LeaderSettings, standing: &LeaderStanding) -> Option<f64> {
@@ -73,12 +73,12 @@
     if unconfirmed_ms >= cfg.contact_limit_ms || now < standing.rivals.connect_until {
         return None;
     }
-    let earlier = if now < standing.rivals.hold_until {
-        standing.earlier_leaders
+    let former_leaders = if now < standing.rivals.hold_until {
+        standing.former_leaders
     } else {
         0
     };
-    let halvings = earlier + u32::from(unconfirmed_ms >= cfg.connect_limit_ms);
+    let halvings = former_leaders + u32::from(unconfirmed_ms >= cfg.connect_limit_ms);
     Some(0.5_f64.powi(i32::try_from(halvings).ok()?))
 }
 
--- a/crates/citronway-core/src/gateway/election.rs
+++ b/crates/citronway-core/src/gateway/election.rs
@@ -85,13 +85,13 @@
     pub session: SessionId,
     /// Increases with each change of the leader.
     pub term: u64,
-    /// Earlier leaders that may still act because they do not know of this one.
+    /// Former leaders that may still act because they do not know of this one.
     pub former: Vec<FormerLeader>,
     /// Version of the row.
     pub version: Version,
 }
 
-/// An earlier leader that may still act.
+/// A former leader that may still act.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormerLeader {
     /// Session of its process.
@@ -172,7 +172,7 @@
         return false;
     };
     let steps = match at.row {
-        // No instance has heard of any other.
+        // No instance knows of any other yet.
         None => rank_of(at.me) % FIRST_CLAIM_STEPS,
         Some(_) => rank(now, at),
     };
@@ -225,7 +225,7 @@
 /// of all.
 ///
 /// Load: all machines start within 0.3 s; of 21 simultaneous claims the store refused 20. An
-/// instance that hears of a leader does not claim.
+/// instance that knows of a leader does not claim.
 pub const FIRST_CLAIM_STEPS: u64 = 6;
 
 /// Number of steps that this instance waits for others to claim before it.
@@ -276,7 +276,7 @@
     fit.into_iter().map(|peer| peer.instance.clone()).collect()
 }
 
-/// Earlier leaders that may still act after the leader in `row` is replaced.
+/// Former leaders that may still act after the leader in `row` is replaced.
 ///
 /// `store_ms` is the time of the replacement by the store's clock. A leader can act for at most
 /// `wait_ms` after its replacement.
@@ -290,12 +290,12 @@
     let Some(row) = row else {
         return Vec::new();
     };
-    // An earlier leader that knows of the leader in `row` has stopped. The leader in `row`
+    // A former leader that knows of the leader in `row` has stopped. The leader in `row`
     // itself may go on.
-    let earlier = row.former.iter().filter(|former| {
+    let remaining = row.former.iter().filter(|former| {
         former.free_at_ms > store_ms && !has_stopped(&former.session, row.term, peers)
     });
-    let mut former: Vec<_> = earlier.cloned().collect();
+    let mut former: Vec<_> = remaining.cloned().collect();
     let last = Session {
         instance: row.instance.clone(),
         id: row.session,
@@ -316,7 +316,7 @@
 /// is the earliest time at which the claim was sent.
 ///
 /// Failure guarded against: the answer to a claim is lost, and the store applies the claim
-/// seconds later. Until then the store confirms the earlier leader, although the end of its
+/// seconds later. Until then the store confirms the former leader, although the end of its
 /// holds was calculated from the time of sending.
 #[must_use]
 pub fn former_holds_until(
@@ -327,7 +327,7 @@
     claimed: Mono,
 ) -> Mono {
     let Some(free_at_ms) = former.iter().map(|former| former.free_at_ms).max() else {
-        // All earlier leaders have ended; the last hold was granted before now.
+        // All former leaders have ended; the last hold was granted before now.
         return cfg.latest_hold_end(now);
     };
     let longest = cfg.predecessor_limits(now).hold_until;
@@ -347,7 +347,7 @@
         .any(|peer| peer.instance == session.instance && peer.session != session.id)
 }
 
-/// Whether an earlier leader has ended, or knows of `term` and therefore grants no holds.
+/// Whether a former leader has ended, or knows of `term` and therefore grants no holds.
 #[must_use]
 pub fn has_stopped(session: &Session, term: u64, peers: &[PeerState]) -> bool {
     has_ended(session, peers)
--- a/crates/citronway-core/src/gateway/keyload.rs
+++ b/crates/citronway-core/src/gateway/keyload.rs
@@ -118,7 +118,7 @@
 
 /// Load of all keys over a long and a short window.
 ///
-/// The long window tells the loads of endpoints apart; the short window shows changes of hot
+/// The long window separates the loads of endpoints; the short window shows changes of hot
 /// keys.
 #[derive(Debug)]
 pub struct KeyLoads {
@@ -161,11 +161,12 @@
         self.steady.per_second()
     }
 
-    /// The window to use for the load of a range: the long one, unless the load has clearly changed.
+    /// The window to use for the load of a range: the long one, unless the load has clearly
+    /// changed.
     ///
-    /// Load: of 200 hot keys an endpoint gets two or three whose load was underestimated by half when
-    /// they were distributed, after 0.3 s. Its queue (`queued`) shows that it is overloaded, so a
-    /// higher load in the short window is trusted without further evidence.
+    /// Load: of 200 hot keys an endpoint gets two or three whose load was underestimated by half
+    /// when they were distributed, after 0.3 s. Its queue (`queued`) shows that it is overloaded,
+    /// so a higher load in the short window is trusted without further evidence.
     #[must_use]
     pub fn window_for(&self, span: Span, queued: bool) -> LoadWindow {
         let steady = self.steady.of(span) * self.steady.per_second() * self.surge();
--- a/crates/citronway-core/src/gateway/outage.rs
+++ b/crates/citronway-core/src/gateway/outage.rs
@@ -1,4 +1,4 @@
-//! Tells an outage of the store from a lost connection between this instance and the store.
+//! Distinguishes an outage of the store from a lost connection between this instance and it.
 
 use crate::gateway::report::Versions;
 use crate::time::Mono;
--- a/crates/citronway-core/src/gateway/placement.rs
+++ b/crates/citronway-core/src/gateway/placement.rs
@@ -211,8 +211,8 @@
         self.endpoints.get(endpoint).copied()
     }
 
-    /// Part of an endpoint's capacity that is used after the plan and with `more` load, in requests a
-    /// second.
+    /// Part of an endpoint's capacity that is used after the plan and with `more` load, in requests
+    /// a second.
     fn usage(&self, candidate: &PlacementEndpoint, more: f64) -> f64 {
         let load = self
             .load
@@ -241,7 +241,8 @@
         self.usage(candidate, 0.0) * (1.0 - DOUBT_ERRORS / samples.max(1.0).sqrt())
     }
 
-    /// The endpoint that would be used least after getting `more` load; `None` if none accepts keys.
+    /// The endpoint that would be used least after getting `more` load; `None` if none accepts
+    /// keys.
     fn least_used(&self, more: f64) -> Option<&'a PlacementEndpoint> {
         let usable = self
             .input
--- a/crates/citronway-core/src/gateway/registry.rs
+++ b/crates/citronway-core/src/gateway/registry.rs
@@ -61,7 +61,7 @@
     missing_until: Option<Mono>,
     /// Entry of a start that began earlier, and the time at which it replaces this one unless
     /// this one is renewed before.
-    earlier: Option<(Listing, Mono)>,
+    postponed: Option<(Listing, Mono)>,
     /// Whether a later start listens on the same address.
     shadowed: bool,
     /// Set while its zone is evacuated: time until which requests for its keys are still sent to
@@ -84,7 +84,7 @@
             warm_at: now.plus(listing.cold_ms),
             draining_since: listing.draining.then_some(now),
             missing_until: None,
-            earlier: None,
+            postponed: None,
             shadowed: false,
             evacuated: None,
             listing,
@@ -109,14 +109,14 @@
         // An entry without the draining flag cancels the drain.
         self.draining_since = draining_since.map(|at| self.draining_since.unwrap_or(at));
         self.missing_until = None;
-        self.earlier = None;
+        self.postponed = None;
         self.listing = listing;
     }
 
     /// Next time at which its state changes without a further entry.
     fn next_change(&self) -> Option<Mono> {
-        let earlier = self.earlier.as_ref().map(|(_, at)| *at);
-        self.missing_until.into_iter().chain(earlier).min()
+        let postponed = self.postponed.as_ref().map(|(_, at)| *at);
+        self.missing_until.into_iter().chain(postponed).min()
     }
 
     /// Whether it may be sent new requests that any endpoint of the service can serve.
@@ -202,7 +202,7 @@
         // delayed entry is the right one and replaces the other after the delay.
         if listing.start.born_ms() < known.listing.start.born_ms() {
             known
-                .earlier
+                .postponed
                 .get_or_insert((listing, now.plus(BORN_EARLIER_MS)));
             return;
         }
@@ -303,7 +303,7 @@
         self.endpoints
             .retain(|_, known| known.missing_until.is_none_or(|end| now < end));
         for known in self.endpoints.values_mut() {
-            if let Some((listing, _)) = known.earlier.take_if(|(_, at)| *at <= now) {
+            if let Some((listing, _)) = known.postponed.take_if(|(_, at)| *at <= now) {
                 let evacuated = self.evacuated.get(&listing.zone).copied();
                 *known = ListedEndpoint::new(now, now, listing);
                 known.evacuated = evacuated;
--- a/crates/citronway-core/src/gateway/routes.rs
+++ b/crates/citronway-core/src/gateway/routes.rs
@@ -179,7 +179,7 @@
         CheckedRoutes { routes, findings }
     }
 
-    /// Whether a request that matches no route may belong to one that was left out.
+    /// Whether a request that matches no route may belong to a route that was left out.
     #[must_use]
     pub const fn is_incomplete(&self) -> bool {
         self.incomplete
--- a/crates/citronway-core/src/gateway/tree/mod.rs
+++ b/crates/citronway-core/src/gateway/tree/mod.rs
@@ -198,8 +198,8 @@
         });
     }
 
-    /// Adds each instance with recent reports that is in no group to a group of its zone, or makes it
-    /// the delegate of a new group.
+    /// Adds each instance with recent reports that is in no group to a group of its zone, or makes
+    /// it the delegate of a new group.
     fn place_ungrouped(
         &mut self,
         now: Mono,
--- a/crates/citronway-core/src/gateway/tree/position.rs
+++ b/crates/citronway-core/src/gateway/tree/position.rs
@@ -37,7 +37,7 @@
 
 impl TreePosition {
     /// Applies totals received from an address. Returns false, without effect, if they are already
-    /// known or those of an earlier leader.
+    /// known or those of a former leader.
     pub fn accept_totals(&mut self, now: Mono, totals: &Totals, from: SocketAddr) -> bool {
         let at = (totals.term, totals.number);
         // The same totals may also come from the leader if it probes this instance. The sender of
--- a/crates/citronway-core/src/gateway/tree/report.rs
+++ b/crates/citronway-core/src/gateway/tree/report.rs
@@ -14,8 +14,8 @@
 }
 
 impl GatheredReports {
-    /// Adds the answers and keys of a report. Its requests in flight are not added, as only the newest
-    /// numbers count; see [`GatheredReports::take_with`].
+    /// Adds the answers and keys of a report. Its requests in flight are not added, as only the
+    /// newest numbers count; see [`GatheredReports::take_with`].
     pub fn add(&mut self, endpoints: &[EndpointUse], keys: &[KeySamples]) {
         for used in endpoints {
             let sum = self.entry(used.tag);
@@ -28,7 +28,8 @@
     }
 
     /// Takes everything gathered so far and adds the observations of this instance (`own`) and the
-    /// present numbers of the members (`in_flight`: endpoint, requests in flight, requests waiting).
+    /// present numbers of the members (`in_flight`: endpoint, requests in flight, requests
+    /// waiting).
     pub fn take_with(
         &mut self,
         own: &Observations,
--- a/crates/citronway-core/tests/gateway_cold.rs
+++ b/crates/citronway-core/tests/gateway_cold.rs
@@ -33,7 +33,7 @@
     LeaderStanding {
         confirmed_at: CONFIRMED,
         rivals: PredecessorLimits::default(),
-        earlier_leaders: 0,
+        former_leaders: 0,
     }
 }
 
@@ -84,7 +84,7 @@
         let office = LeaderStanding {
             confirmed_at: contact,
             rivals: LeaderSettings::default().predecessor_limits(now),
-            earlier_leaders: u32::try_from(self.leaders.len()).unwrap(),
+            former_leaders: u32::try_from(self.leaders.len()).unwrap(),
         };
         self.leaders.push(ColdSendLimiter::for_new_leader(now));
         self.offices.push(office);
@@ -205,7 +205,7 @@
     let office = LeaderStanding {
         confirmed_at: CONFIRMED,
         rivals: cfg.predecessor_limits(replaced),
-        earlier_leaders: 1,
+        former_leaders: 1,
     };
     let part = |ms| cold::granted_share(replaced.plus(ms), &cfg, &office);
     expect_that!(part(0), none());
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -157,7 +157,7 @@
         let office = LeaderStanding {
             confirmed_at: self.contact,
             rivals: self.rivals,
-            earlier_leaders: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
+            former_leaders: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
         };
         cold::granted_share(now, &self.cfg, &office)
     }
