--- a/crates/citronway-core/benches/gateway_fleet.rs
+++ b/crates/citronway-core/benches/gateway_fleet.rs
@@ -1,4 +1,5 @@
-//! Cost of what the leader and delegates of a large fleet decide, by its size.
+//! Cost of grouping instances, aggregating reports and encoding assignments in large fleets, by
+//! size.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
--- a/crates/citronway-core/tests/gateway_election.rs
+++ b/crates/citronway-core/tests/gateway_election.rs
@@ -1,4 +1,4 @@
-//! Who becomes the leader, and whose holds it has to wait for.
+//! Leader election, and the wait for the holds of former leaders.
 
 use citronway_core::gateway::election::{
     CLAIM_STEP_MS, ElectionView, FIRST_CLAIM_STEPS, FormerLeader, LEADER_SILENT_MS, LeaderRow,
@@ -12,7 +12,8 @@
 
 const START: Mono = Mono(10_000);
 
-fn sight(name: &str, heard: Mono) -> PeerState {
+/// State of a peer that was last heard at `heard`.
+fn peer(name: &str, heard: Mono) -> PeerState {
     PeerState {
         instance: InstanceName::new(name),
         session: SessionId(1),
@@ -35,7 +36,7 @@
     }
 }
 
-fn situation<'a>(
+fn view<'a>(
     me: &'a InstanceName,
     row: Option<&'a LeaderRow>,
     peers: &'a [PeerState],
@@ -57,13 +58,13 @@
 }
 
 fn claims(now: Mono, me: &str, row: Option<&LeaderRow>, peers: &[PeerState]) -> bool {
-    should_claim(now, &situation(&InstanceName::new(me), row, peers))
+    should_claim(now, &view(&InstanceName::new(me), row, peers))
 }
 
 #[gtest]
-fn a_leader_that_is_heard_is_left_alone() {
+fn a_leader_with_recent_reports_is_not_replaced() {
     let now = START.plus(60_000);
-    let peers = [sight("a", now.minus(LEADER_SILENT_MS - 1))];
+    let peers = [peer("a", now.minus(LEADER_SILENT_MS - 1))];
     expect_that!(claims(now, "b", Some(&row("a")), &peers), eq(false));
 }
 
@@ -71,7 +72,7 @@
 fn a_silent_leader_is_replaced_by_one_after_the_other() {
     let heard = START.plus(60_000);
     let silent = heard.plus(LEADER_SILENT_MS);
-    let peers = [sight("a", heard), sight("b", silent)];
+    let peers = [peer("a", heard), peer("b", silent)];
     let row = row("a");
     expect_that!(claims(silent, "b", Some(&row), &peers[..1]), eq(true));
     expect_that!(claims(silent, "c", Some(&row), &peers), eq(false));
@@ -81,17 +82,17 @@
     );
 }
 
-/// All instances start anew and hear nobody yet. Each would claim at once and the
-/// leader would change with each of them.
+/// Guards against a change of the leader with each instance after a restart of all: no instance
+/// has received reports yet, and each claims at once.
 #[gtest]
-fn who_has_just_started_listens_first() {
+fn an_instance_that_has_just_started_waits_before_it_claims() {
     let row = row("a");
     expect_that!(claims(START, "b", Some(&row), &[]), eq(false));
     expect_that!(
         claims(START.plus(STARTUP_GRACE_MS), "b", Some(&row), &[]),
         eq(true)
     );
-    // A duty that nobody ever had is claimed within a few steps by each.
+    // If there has never been a leader, each claims within a few steps.
     let last = START.plus((FIRST_CLAIM_STEPS - 1) * CLAIM_STEP_MS);
     for me in ["a", "b", "c", "d"] {
         expect_that!(claims(last, me, None, &[]), eq(true));
@@ -101,37 +102,38 @@
 #[gtest]
 fn a_leader_that_stops_or_cannot_work_is_replaced_at_once() {
     let now = START.plus(60_000);
-    let mut stopping = sight("a", now);
+    let mut stopping = peer("a", now);
     stopping.stopping = true;
-    let mut unfit = sight("a", now);
+    let mut unfit = peer("a", now);
     unfit.unfit = true;
-    let mut reborn = sight("a", now);
-    reborn.session = SessionId(2);
-    for sight in [stopping, unfit] {
-        expect_that!(claims(now, "b", Some(&row("a")), &[sight]), eq(true));
+    let mut restarted = peer("a", now);
+    restarted.session = SessionId(2);
+    for peer in [stopping, unfit] {
+        expect_that!(claims(now, "b", Some(&row("a")), &[peer]), eq(true));
     }
-    // A new start of the same instance may claim before this one.
+    // The restarted process of the same instance may claim before this instance.
     let later = now.plus(CLAIM_STEP_MS);
-    reborn.heard = later;
+    restarted.heard = later;
     expect_that!(
-        claims(now, "b", Some(&row("a")), &[reborn.clone()]),
+        claims(now, "b", Some(&row("a")), &[restarted.clone()]),
         eq(false)
     );
-    expect_that!(claims(later, "b", Some(&row("a")), &[reborn]), eq(true));
+    expect_that!(claims(later, "b", Some(&row("a")), &[restarted]), eq(true));
 }
 
-/// The store comes back after an outage and `a` claims. `b` still has a report by which
-/// `a` could not reach the store, and would claim over it; then `c` over `b`.
+/// Guards against instances that replace each other when the store comes back after an outage:
+/// `a` claims, `b` still has a report that says that `a` cannot reach the store and claims too,
+/// then `c` replaces `b`.
 #[gtest]
-fn a_new_leader_is_given_a_moment_to_say_that_it_is_fit() {
+fn a_new_leader_gets_time_to_report_that_it_is_fit() {
     let now = START.plus(60_000);
-    let mut before = sight("a", now.minus(20));
+    let mut before = peer("a", now.minus(20));
     before.unfit = true;
     let peers = [before];
-    let seen = |row_seen| {
+    let claims_with = |row_seen| {
         let row = row("a");
         let me = InstanceName::new("b");
-        let situation = ElectionView {
+        let view = ElectionView {
             me: &me,
             session: SessionId(1),
             started: START,
@@ -145,15 +147,15 @@
             instances: 3,
             is_large_fleet: false,
         };
-        should_claim(now, &situation)
+        should_claim(now, &view)
     };
-    expect_that!(seen(now.minus(10)), eq(false));
-    expect_that!(seen(now.minus(TAKEOVER_GRACE_MS)), eq(true));
+    expect_that!(claims_with(now.minus(10)), eq(false));
+    expect_that!(claims_with(now.minus(TAKEOVER_GRACE_MS)), eq(true));
 }
 
 #[gtest]
 fn an_instance_that_is_unfit_does_not_claim() {
-    let situation = ElectionView {
+    let view = ElectionView {
         me: &InstanceName::new("b"),
         session: SessionId(1),
         started: START,
@@ -167,7 +169,7 @@
         instances: 3,
         is_large_fleet: false,
     };
-    expect_that!(should_claim(START.plus(60_000), &situation), eq(false));
+    expect_that!(should_claim(START.plus(60_000), &view), eq(false));
 }
 
 fn former(name: &str, free_at_ms: u64) -> FormerLeader {
@@ -177,34 +179,34 @@
     }
 }
 
-/// Two leaders follow each other within seconds, cut off from the store one after the
-/// other. The third must wait for both, not only for the last.
+/// Guards against a third leader that waits only for the second: both former leaders were cut off
+/// from the store within seconds, and both may still act.
 #[gtest]
-fn earlier_leaders_are_remembered_until_they_are_known_to_have_stopped() {
+fn former_leaders_are_kept_until_they_are_known_to_have_stopped() {
     let mut second = row("b");
     second.former = vec![former("a", 17_000)];
     let now = START.plus(60_000);
     let after = |peers: &[PeerState]| former_leaders_after(Some(&second), peers, 5_000, 17_000);
     // `a` does not know of `b` yet.
-    let mut behind = sight("a", now);
+    let mut behind = peer("a", now);
     behind.term = 2;
     let both = [former("a", 17_000), former("b", 22_000)];
-    expect_that!(after(&[behind, sight("b", now)]), eq(&both));
-    // Now it does; only `b` may go on.
-    expect_that!(after(&[sight("a", now), sight("b", now)]), eq(&both[1..]));
-    let mut reborn = sight("a", now);
-    reborn.session = SessionId(2);
-    expect_that!(after(&[reborn]), eq(&both[1..]));
+    expect_that!(after(&[behind, peer("b", now)]), eq(&both));
+    // Now it does, and only `b` may still act.
+    expect_that!(after(&[peer("a", now), peer("b", now)]), eq(&both[1..]));
+    let mut restarted = peer("a", now);
+    restarted.session = SessionId(2);
+    expect_that!(after(&[restarted]), eq(&both[1..]));
 
     let old = Session::new("a", 1);
-    expect_that!(has_stopped(&old, 4, &[sight("a", now)]), eq(false));
-    expect_that!(has_stopped(&old, 3, &[sight("a", now)]), eq(true));
+    expect_that!(has_stopped(&old, 4, &[peer("a", now)]), eq(false));
+    expect_that!(has_stopped(&old, 3, &[peer("a", now)]), eq(true));
 }
 
-/// A leader's machine is gone for good. Each later leader used to wait for it anew, and
-/// keys of dead endpoints stayed unserved for 17 s after every change of the leader.
+/// Guards against leaders that each wait again for a former leader whose machine is gone for good:
+/// keys of lost endpoints would not be served for 17 s after every change of the leader.
 #[gtest]
-fn an_earlier_leader_that_is_never_heard_again_is_waited_for_once() {
+fn a_former_leader_that_never_returns_is_waited_for_once() {
     let mut second = row("b");
     second.former = vec![former("a", 17_000)];
     let after = |store_ms| former_leaders_after(Some(&second), &[], store_ms, 17_000);
@@ -215,9 +217,9 @@
     expect_that!(after(17_000), eq(&[former("b", 34_000)]));
 }
 
-/// Guards against keys that are given on too soon where the store took a claim late.
+/// Guards against keys that are reassigned too early when the store applies a claim late.
 #[gtest]
-fn a_claim_that_is_taken_late_extends_the_wait_for_the_earlier_leader() {
+fn a_claim_that_is_applied_late_extends_the_wait_for_the_former_leader() {
     let cfg = LeaderSettings::default();
     let (claimed, store_ms) = (Mono(60_000), 5_000);
     let former = [former("first", store_ms + cfg.predecessor_wait_ms())];
@@ -240,19 +242,19 @@
     expect_that!(ended, eq(cfg.latest_hold_end(claimed)));
 }
 
-/// Machines are unequal. The first to claim had a tenth of a core and a link of
-/// 10 Mbit/s; the rows that it passed on came seconds late or not at all.
+/// Guards against a leader on the weakest machine: with a tenth of a core and a link of 10 Mbit/s,
+/// the rows that it relays arrive seconds late or not at all.
 #[gtest]
-fn a_strong_machine_keeps_before_a_weak_one() {
+fn a_strong_machine_claims_before_a_weak_one() {
     let weak = Strength::of(0.1, 10.0);
     expect_that!(weak, eq(Strength(100)));
     expect_that!(Strength::of(0.5, 200.0), eq(Strength::FULL));
     let heard = START.plus(60_000);
     let row = row("a");
     let claims_when = |strength, other: Strength, after_ms| {
-        let mut other_sight = sight("c", heard.plus(LEADER_SILENT_MS));
-        other_sight.strength = other;
-        let situation = ElectionView {
+        let mut other_peer = peer("c", heard.plus(LEADER_SILENT_MS));
+        other_peer.strength = other;
+        let view = ElectionView {
             me: &InstanceName::new("b"),
             session: SessionId(1),
             started: START,
@@ -261,29 +263,29 @@
             term: row.term,
             row: Some(&row),
             row_seen: Mono(0),
-            peers: &[sight("a", heard), other_sight],
+            peers: &[peer("a", heard), other_peer],
             standbys: &[],
             instances: 3,
             is_large_fleet: false,
         };
-        should_claim(heard.plus(LEADER_SILENT_MS + after_ms), &situation)
+        should_claim(heard.plus(LEADER_SILENT_MS + after_ms), &view)
     };
     expect_that!(claims_when(weak, Strength::FULL, 0), eq(false));
     expect_that!(claims_when(weak, Strength::FULL, CLAIM_STEP_MS), eq(true));
     expect_that!(claims_when(Strength::FULL, weak, 0), eq(true));
 }
 
-/// A leader is lost, and each of 89 instances asked the store for three tables at once. Now
-/// three do; where the store refuses one of them, it says that it is not fit, and the next
-/// one watches in its place.
+/// Guards against 89 instances that each read three tables from the store at once when the leader
+/// is lost. Only three watch the store; an instance that the store refuses reports itself unfit,
+/// and the next one watches instead.
 #[gtest]
-fn three_instances_watch_the_store_while_nobody_tells_of_it() {
+fn three_instances_watch_the_store_while_no_leader_relays_rows() {
     let now = START.plus(60_000);
-    let mut peers = ["b", "c", "d", "e"].map(|name| sight(name, now));
+    let mut peers = ["b", "c", "d", "e"].map(|name| peer(name, now));
     let watching = |me: &str, peers: &[PeerState]| {
         let me = InstanceName::new(me);
         let others: Vec<_> = peers.iter().filter(|p| p.instance != me).cloned().collect();
-        watches_store(now, &situation(&me, None, &others))
+        watches_store(now, &view(&me, None, &others))
     };
     expect_that!(
         ["b", "c", "d", "e"].map(|me| watching(me, &peers)),
@@ -293,11 +295,11 @@
     expect_that!(watching("e", &peers), eq(true));
 }
 
-/// The leader of 295 instances is lost, and nobody hears more than a few others. All of them
-/// claimed at once, and the store was busy for a second and a half with writes of which one
-/// succeeds. Its last sums named eight that claim first.
+/// Guards against simultaneous claims of 295 instances when the leader is lost and each instance
+/// knows only a few others: the store would be busy for 1.5 s with writes of which one succeeds.
+/// The leader's last totals named eight standbys that claim first.
 #[gtest]
-fn in_a_large_fleet_those_that_the_leader_named_claim_first_and_few_at_once() {
+fn in_a_large_fleet_standbys_claim_first_and_few_instances_at_once() {
     let heard = START.plus(60_000);
     let silent = heard.plus(LEADER_SILENT_MS);
     let row = row("front-0");
@@ -305,16 +307,16 @@
         .map(|i| InstanceName::new(&format!("front-{i}")))
         .collect();
     let standbys = names[1..9].to_vec();
-    let peers = [sight("front-0", heard)];
+    let peers = [peer("front-0", heard)];
     let claims_at = |me: &InstanceName, now: Mono| {
-        let situation = ElectionView {
+        let view = ElectionView {
             strength: Strength(200),
             standbys: &standbys,
             instances: 295,
             is_large_fleet: true,
-            ..situation(me, Some(&row), &peers)
+            ..view(me, Some(&row), &peers)
         };
-        should_claim(now, &situation)
+        should_claim(now, &view)
     };
     let mut before = 0;
     for step in 0..100 {
@@ -324,26 +326,23 @@
         expect_that!(claimants - before, le(at_most), "step {step}");
         before = claimants;
     }
-    // All of them are gone, and one after the other somebody else claims.
+    // If the standbys are lost too, all other instances claim in the end.
     expect_that!(before, eq(294));
 }
 
-/// All instances lose power together. The one that led starts again at its address and knows
-/// that the start before it has ended; nobody else has to be waited for.
+/// All instances lose power together. The former leader restarts at its address and knows that its
+/// earlier process has ended, so it has to wait for no other.
 #[gtest]
 fn a_leader_that_starts_again_claims_at_once() {
     let mut row = row("front-7");
     row.session = SessionId(9);
     let me = InstanceName::new("front-7");
-    let situation = ElectionView {
+    let view = ElectionView {
         row_seen: START,
         instances: 295,
         is_large_fleet: true,
-        ..situation(&me, Some(&row), &[])
+        ..view(&me, Some(&row), &[])
     };
-    expect_that!(should_claim(START, &situation), eq(false));
-    expect_that!(
-        should_claim(START.plus(TAKEOVER_GRACE_MS), &situation),
-        eq(true)
-    );
+    expect_that!(should_claim(START, &view), eq(false));
+    expect_that!(should_claim(START.plus(TAKEOVER_GRACE_MS), &view), eq(true));
 }
--- a/crates/citronway-core/tests/gateway_evacuation.rs
+++ b/crates/citronway-core/tests/gateway_evacuation.rs
@@ -1,4 +1,4 @@
-//! Availability zones that are evacuated: what is known of them, and what goes there.
+//! Evacuated availability zones: their state, and the requests that are sent to them.
 
 mod admission_support;
 
@@ -31,7 +31,7 @@
         .collect()
 }
 
-/// Guards against a row that was overtaken and evacuates a zone that is taken back.
+/// Guards against an old row that arrives late and evacuates a restored zone.
 #[gtest]
 fn the_newest_row_of_a_zone_counts() {
     let mut zones = Evacuations::default();
@@ -46,7 +46,7 @@
     );
     expect_that!(zones.apply_row(&a, Version(5), evacuated_at(NOW)), none());
     expect_that!(names(&zones), is_empty());
-    // Evacuated again while it is being taken back.
+    // Evacuated again after it was restored.
     expect_that!(
         zones.apply_row(&a, Version(10), evacuated_at(NOW)),
         some(anything())
@@ -54,9 +54,9 @@
     expect_that!(names(&zones), elements_are![eq("a")]);
 }
 
-/// Guards against a row that is written again and gives an evacuation more time.
+/// Guards against a row that is written again and extends the time of an evacuation.
 #[gtest]
-fn a_row_that_is_written_again_begins_no_new_time() {
+fn a_row_that_is_written_again_does_not_restart_the_time() {
     let mut zones = Evacuations::default();
     zones.apply_row(&zone("a"), Version(5), evacuated_at(NOW));
     let again = zones.apply_row(&zone("a"), Version(6), evacuated_at(NOW.plus(4_000)));
@@ -65,9 +65,9 @@
     expect_that!(since, elements_are![eq(&Some(NOW))]);
 }
 
-/// Guards against a zone that stays evacuated because its removal came in a lost history.
+/// Guards against a zone that stays evacuated because the removal of its row was not seen.
 #[gtest]
-fn a_zone_that_is_no_longer_listed_is_taken_back() {
+fn a_zone_that_is_no_longer_listed_is_restored() {
     let mut zones = Evacuations::default();
     zones.apply_row(&zone("a"), Version(5), evacuated_at(NOW));
     zones.apply_row(&zone("b"), Version(7), evacuated_at(NOW));
@@ -75,13 +75,14 @@
     let changes = zones.apply_listing(&listed, Version(9));
     expect_that!(changes, len(eq(1)));
     expect_that!(names(&zones), elements_are![eq("b")]);
-    // Rows as they were before this one was written say nothing of it.
+    // A list older than the row of a zone does not restore the zone.
     zones.apply_row(&zone("c"), Version(12), evacuated_at(NOW));
     expect_that!(zones.apply_listing(&listed, Version(11)), is_empty());
     expect_that!(names(&zones), elements_are![eq("b"), eq("c")]);
 }
 
-/// Guards against owned work that goes on to a zone that was evacuated long before it was heard of.
+/// Guards against requests that are still sent to the owners of keys in a zone whose evacuation
+/// may have begun long before this instance learnt of it.
 #[gtest]
 fn an_evacuation_of_unknown_age_leaves_no_time() {
     expect_that!(owned_work_until(None, ALLOWED_MS), eq(Mono(0)));
@@ -96,6 +97,7 @@
         .set_evacuated(NOW, zones.collect::<IndexMap<_, _>>());
 }
 
+/// Name of the chosen endpoint, reason of the refusal, or "waits".
 fn shown(decision: Option<&Decision>) -> String {
     match decision {
         Some(Decision::Send(choice)) => choice.endpoint.to_string(),
@@ -104,7 +106,7 @@
     }
 }
 
-/// Guards against requests that reach endpoints of a zone that is evacuated.
+/// Guards against requests that are sent to endpoints of an evacuated zone.
 #[gtest]
 fn work_without_a_key_leaves_the_zone_at_once() {
     let mut scene = Scene::new();
@@ -116,7 +118,7 @@
     }
 }
 
-/// Guards against keys that are sent to the zone after the time for its evacuation.
+/// Guards against requests for keys that are sent to the zone after the time for its evacuation.
 #[gtest]
 fn keys_are_sent_to_their_owner_for_a_bounded_time() {
     let mut scene = Scene::new();
@@ -131,7 +133,7 @@
     expect_that!(shown(other.as_ref()), eq("b"));
 }
 
-/// Guards against requests that wait for their deadline though nobody may serve them.
+/// Guards against requests that wait until their deadline although no endpoint may serve them.
 #[gtest]
 fn without_a_zone_left_requests_are_refused_at_once() {
     let mut scene = Scene::new();
@@ -159,7 +161,8 @@
     }
 }
 
-/// Guards against endpoints that enter an evacuated zone and are used, and cold ones on its return.
+/// Guards against requests to endpoints that start in an evacuated zone, and against overload of
+/// cold endpoints after its restoration.
 #[gtest]
 fn endpoints_that_enter_the_zone_get_nothing_and_are_cold_when_it_is_back() {
     let mut registry = Registry::default();
--- a/crates/citronway-core/tests/gateway_hot_ranges.rs
+++ b/crates/citronway-core/tests/gateway_hot_ranges.rs
@@ -1,4 +1,5 @@
-//! Hot ranges of a large service: how soon they are spread, and what callers get meanwhile.
+//! Hot ranges of a large service: how soon they are spread, and how many requests are in time until
+//! then.
 
 #[path = "leader_world/random.rs"]
 #[expect(dead_code, reason = "shared with the tests of the leader")]
@@ -19,18 +20,21 @@
 /// Requests a second of an endpoint with six slots and work of 570 ms.
 const CAPACITY: f64 = 10.5;
 const STEP_MS: u64 = 100;
-/// Time between two plans, and from a plan until its moves have ended, in milliseconds.
+/// Interval between two plans, in milliseconds.
 const PLAN_MS: u64 = 300;
+/// Duration of a move, in milliseconds.
 const MOVE_MS: u64 = 600;
-/// Requests that an endpoint can have before it and still be in time.
-const IN_TIME: f64 = CAPACITY;
+/// Backlog of an endpoint, in requests, below which a new request is answered in time.
+const MAX_BACKLOG: f64 = CAPACITY;
 
 struct Load {
-    /// Requests a second of all keys alike.
+    /// Requests a second spread evenly over all keys.
     even: u64,
-    /// Requests a second of the hot keys.
+    /// Requests a second for the hot keys.
     hot: u64,
+    /// First hot key.
     first: u16,
+    /// Number of hot keys.
     keys: u64,
 }
 
@@ -38,9 +42,12 @@
     now: Mono,
     row: Assignment,
     load: KeyLoads,
+    /// Number of unfinished requests of each endpoint.
     backlog: IndexMap<EndpointStart, f64>,
+    /// Moves under way and the times at which they end.
     under_way: Vec<(Mono, Move)>,
     random: Random,
+    /// Number of moves so far.
     moved: usize,
 }
 
@@ -71,8 +78,8 @@
         }
     }
 
-    /// Plays a load; the share of the hot keys' requests that are in time.
-    fn play(&mut self, for_ms: u64, load: &Load) -> f64 {
+    /// Applies a load. Returns the share of the requests for hot keys that are in time.
+    fn run(&mut self, for_ms: u64, load: &Load) -> f64 {
         let end = self.now.plus(for_ms);
         let (mut sent, mut in_time) = (0.0, 0.0);
         while self.now < end {
@@ -98,11 +105,12 @@
         in_time / f64::max(sent, 1.0)
     }
 
+    /// Sends a request. Returns whether it is answered in time.
     fn request(&mut self, key: u16) -> bool {
         self.load.add(key);
         let owner = &self.row.range_at(key).unwrap().holder.endpoint;
         let left = self.backlog.get_mut(owner).unwrap();
-        if *left >= IN_TIME {
+        if *left >= MAX_BACKLOG {
             return false;
         }
         *left += 1.0;
@@ -110,7 +118,7 @@
     }
 
     fn plan(&mut self) {
-        let places: Vec<_> = self
+        let endpoints: Vec<_> = self
             .backlog
             .iter()
             .map(|(endpoint, left)| PlacementEndpoint {
@@ -124,55 +132,56 @@
         let moves = propose(&PlacementInput {
             row: &self.row,
             load: &self.load,
-            endpoints: &places,
+            endpoints: &endpoints,
         });
-        for wish in moves {
-            self.begin(&wish);
+        for planned in moves {
+            self.begin(&planned);
             self.moved += 1;
-            self.under_way.push((self.now.plus(MOVE_MS), wish));
+            self.under_way.push((self.now.plus(MOVE_MS), planned));
         }
     }
 
-    /// Sets the keys of a move apart.
-    fn begin(&mut self, wish: &Move) {
+    /// Splits the range of a planned move and records its target.
+    fn begin(&mut self, planned: &Move) {
         let i = self
             .row
             .ranges
             .iter()
-            .position(|range| range.first <= wish.span.first && wish.span.last <= range.last)
+            .position(|range| range.first <= planned.span.first && planned.span.last <= range.last)
             .unwrap();
         let old = self.row.ranges.remove(i);
         let mut parts = Vec::new();
-        if old.first < wish.span.first {
+        if old.first < planned.span.first {
             parts.push(Range {
-                last: wish.span.first - 1,
+                last: planned.span.first - 1,
                 ..old.clone()
             });
         }
         parts.push(Range {
-            first: wish.span.first,
-            last: wish.span.last,
+            first: planned.span.first,
+            last: planned.span.last,
             holder: old.holder.clone(),
             next: Some(Holder {
-                endpoint: wish.to.clone(),
+                endpoint: planned.to.clone(),
                 ..old.holder.clone()
             }),
         });
-        if wish.span.last < old.last {
+        if planned.span.last < old.last {
             parts.push(Range {
-                first: wish.span.last + 1,
+                first: planned.span.last + 1,
                 ..old
             });
         }
         self.row.ranges.splice(i..i, parts);
     }
 
+    /// Completes the moves that end now.
     fn end_moves(&mut self) {
         let now = self.now;
         let ended = self.under_way.extract_if(.., |(at, _)| *at <= now);
-        for (_, wish) in ended {
+        for (_, planned) in ended {
             let mut ranges = self.row.ranges.iter_mut();
-            let range = ranges.find(|range| range.first == wish.span.first);
+            let range = ranges.find(|range| range.first == planned.span.first);
             if let Some(next) = range.and_then(|range| range.next.take().map(|n| (range, n))) {
                 next.0.holder = next.1;
             }
@@ -180,13 +189,13 @@
     }
 }
 
-/// A service of 602 endpoints at four tenths of what it can do. Then 200 keys beside each
-/// other, which two endpoints have, get four requests in ten: a hundred times what the two
-/// can do. One or two pieces were moved at a time, and after eight seconds callers of these
-/// keys were still refused, with half of the service idle.
+/// Guards against a hot range that is spread too slowly. A service of 602 endpoints is used to 40 %
+/// of its capacity when 200 neighbouring keys of two endpoints get 40 % of all requests, a hundred
+/// times the capacity of the two. Moving one or two pieces at a time, requests for these keys are
+/// still refused after eight seconds with half of the service idle.
 #[gtest]
 fn a_hot_range_is_spread_within_two_seconds() {
-    // Traffic has lasted for a while, or has begun two seconds ago.
+    // The even load has lasted for nine seconds or for two.
     for (seed, calm_ms) in [(0, 9_000), (1, 9_000), (2, 1_800), (3, 1_800)] {
         let mut world = World::new(seed);
         let calm = Load {
@@ -196,8 +205,8 @@
             keys: 1,
         };
         let none = Load { even: 0, ..calm };
-        world.play(9_000, &none);
-        world.play(calm_ms, &calm);
+        world.run(9_000, &none);
+        world.run(calm_ms, &calm);
         let moved_in_calm = world.moved;
         let hot = Load {
             even: 1_570,
@@ -205,8 +214,8 @@
             first: 20_000,
             keys: 200,
         };
-        world.play(2_100, &hot);
-        let share = world.play(3_000, &hot);
+        world.run(2_100, &hot);
+        let share = world.run(3_000, &hot);
         expect_that!(share, gt(0.9), "seed {seed}");
         expect_that!(moved_in_calm, le(30), "seed {seed}");
     }
--- a/crates/citronway-core/tests/gateway_outage.rs
+++ b/crates/citronway-core/tests/gateway_outage.rs
@@ -1,4 +1,4 @@
-//! An outage of the store told from a cut of one instance.
+//! Distinction between an outage of the store and the isolation of one instance.
 
 use citronway_core::gateway::outage::Outage;
 use citronway_core::gateway::report::Versions;
@@ -13,10 +13,11 @@
     }
 }
 
-/// The store falls silent for all. Rows of its last moment are still told for a while;
-/// taken for a sign of life, they would have the entries dropped that lapse meanwhile.
+/// Guards against dropped entries in an outage of the store: others still report rows from just
+/// before the outage for a while. If these proved that the store answers, entries that expire
+/// during the outage would be dropped.
 #[gtest]
-fn rows_of_the_last_moment_are_no_sign_of_life() {
+fn rows_from_just_before_an_outage_do_not_prove_that_the_store_answers() {
     let mut outage = Outage::default();
     outage.observe(Mono(1_000), false, seen(10));
     outage.observe(Mono(1_100), true, seen(10));
@@ -25,10 +26,10 @@
     expect_that!(outage.is_local(), eq(false));
 }
 
-/// One instance is cut off for ten seconds while endpoints leave. It has to know on its
-/// return that missing entries are gone.
+/// Guards against requests to endpoints that stopped while this instance was cut off for ten
+/// seconds: after its return it has to know that missing entries were removed.
 #[gtest]
-fn rows_that_others_go_on_seeing_show_a_cut_of_this_instance() {
+fn newer_rows_at_others_show_that_only_this_instance_is_cut_off() {
     let mut outage = Outage::default();
     outage.observe(Mono(1_000), false, seen(10));
     outage.observe(Mono(1_100), true, seen(10));
--- a/crates/citronway-core/tests/gateway_placement.rs
+++ b/crates/citronway-core/tests/gateway_placement.rs
@@ -1,4 +1,4 @@
-//! Which keys go where: leaving endpoints, idle ones, hot ranges.
+//! Placement of keys: draining endpoints, idle endpoints, hot ranges.
 
 #[path = "leader_world/random.rs"]
 #[expect(dead_code, reason = "shared with the tests of the leader")]
@@ -13,10 +13,10 @@
 use googletest::prelude::*;
 use random::Random;
 
-/// Requests a second of an endpoint with six slots and work of 200 ms.
+/// Requests a second of an endpoint with six slots and requests of 200 ms.
 const CAPACITY: f64 = 30.0;
 
-fn place(id: &str) -> PlacementEndpoint {
+fn endpoint(id: &str) -> PlacementEndpoint {
     PlacementEndpoint {
         endpoint: EndpointStart::new(id, None),
         capacity: CAPACITY,
@@ -26,6 +26,7 @@
     }
 }
 
+/// Assignment in which each endpoint owns a range of the same size.
 fn even(ids: &[&str]) -> Assignment {
     let mut row = Assignment {
         next_fence: 1,
@@ -54,7 +55,7 @@
     row
 }
 
-/// Load of `per_s` requests a second, spread over a span.
+/// Adds a load of `per_s` requests a second, spread over a range of keys.
 fn add(load: &mut KeyLoads, span: Span, per_s: f64) {
     let width = f64::from(span.last - span.first) + 1.0;
     let count = per_s / load.per_request();
@@ -74,12 +75,12 @@
 fn moves(
     row: &Assignment,
     load: &KeyLoads,
-    places: &[PlacementEndpoint],
+    endpoints: &[PlacementEndpoint],
 ) -> Vec<citronway_core::gateway::leader::Move> {
     propose(&PlacementInput {
         row,
         load,
-        endpoints: places,
+        endpoints,
     })
 }
 
@@ -95,11 +96,14 @@
         },
         60.0,
     );
-    expect_that!(moves(&row, &load, &["a", "b", "c"].map(place)), is_empty());
+    expect_that!(
+        moves(&row, &load, &["a", "b", "c"].map(endpoint)),
+        is_empty()
+    );
 }
 
-/// Forty in a hundred requests are suddenly for 200 keys next to each other, all at
-/// one endpoint. Its range is cut so that the hot keys spread over the others.
+/// Two thirds of all requests are suddenly for 200 neighbouring keys of one endpoint. Its range is
+/// split and the hot keys are spread over the other endpoints.
 #[gtest]
 fn a_hot_range_is_cut_and_spread() {
     let row = even(&["a", "b", "c", "d"]);
@@ -120,16 +124,16 @@
         },
         60.0,
     );
-    let begun = moves(&row, &load, &["a", "b", "c", "d"].map(place));
+    let begun = moves(&row, &load, &["a", "b", "c", "d"].map(endpoint));
     expect_that!(begun.len(), ge(1));
-    for wish in &begun {
-        expect_that!(wish.to.name().as_str(), not(eq("a")));
+    for planned in &begun {
+        expect_that!(planned.to.name().as_str(), not(eq("a")));
         let hot = Span {
             first: 500,
             last: 699,
         };
-        expect_that!(wish.span.overlaps(hot), eq(true));
-        expect_that!(load.of(wish.span), le(45.0));
+        expect_that!(planned.span.overlaps(hot), eq(true));
+        expect_that!(load.of(planned.span), le(45.0));
     }
 }
 
@@ -145,14 +149,14 @@
         },
         60.0,
     );
-    for wish in moves(&row, &load, &["a", "b"].map(place)) {
-        // Moving the key itself would only carry the load over.
-        expect_that!(load.of(wish.span), lt(load.per_request()));
+    for planned in moves(&row, &load, &["a", "b"].map(endpoint)) {
+        // Moving the key itself would only move the overload.
+        expect_that!(load.of(planned.span), lt(load.per_request()));
     }
 }
 
 #[gtest]
-fn a_leaving_endpoint_is_emptied() {
+fn a_draining_endpoint_is_emptied() {
     let row = even(&["a", "b", "c"]);
     let mut load = KeyLoads::new(Mono(0), 1_500.0, 1_500.0);
     add(
@@ -163,17 +167,17 @@
         },
         75.0,
     );
-    let mut places = ["a", "b", "c"].map(place);
-    places[1].must_drain = true;
-    places[1].accepts_keys = false;
-    let begun = moves(&row, &load, &places);
+    let mut endpoints = ["a", "b", "c"].map(endpoint);
+    endpoints[1].must_drain = true;
+    endpoints[1].accepts_keys = false;
+    let begun = moves(&row, &load, &endpoints);
     let keys: u32 = begun
         .iter()
         .map(|m| u32::from(m.span.last - m.span.first) + 1)
         .sum();
     expect_that!(keys, eq(row.ranges[1].width()));
-    for wish in begun {
-        expect_that!(wish.to.name().as_str(), not(eq("b")));
+    for planned in begun {
+        expect_that!(planned.to.name().as_str(), not(eq("b")));
     }
 }
 
@@ -189,7 +193,7 @@
         },
         20.0,
     );
-    let begun = moves(&row, &load, &["a", "b", "new"].map(place));
+    let begun = moves(&row, &load, &["a", "b", "new"].map(endpoint));
     let to_new: Vec<_> = begun
         .iter()
         .filter(|m| m.to.name().as_str() == "new")
@@ -201,15 +205,14 @@
 fn with_nowhere_to_go_nothing_moves() {
     let row = even(&["a"]);
     let load = KeyLoads::new(Mono(0), 1_500.0, 1_500.0);
-    let mut only = place("a");
+    let mut only = endpoint("a");
     only.must_drain = true;
     only.accepts_keys = false;
     expect_that!(moves(&row, &load, &[only]), is_empty());
 }
 
-/// One key of a hot range is more than any endpoint can do. It used to be moved with its
-/// neighbours, and each new owner reset connections by the hundred. It stays where it
-/// is, and its neighbours go.
+/// Guards against moves of a key that has more load than any endpoint can serve: each new owner
+/// resets connections by the hundred. The key stays, and the keys next to it move.
 #[gtest]
 fn a_key_that_is_too_hot_for_any_endpoint_stays_and_its_neighbours_go() {
     let row = even(&["a", "b", "c", "d"]);
@@ -222,35 +225,36 @@
     for key in [498, 499, 501, 502] {
         add(&mut load, hot(key), 10.0);
     }
-    let mut places = ["a", "b", "c", "d"].map(place);
-    places[0].has_queue = true;
-    let begun = moves(&row, &load, &places);
+    let mut endpoints = ["a", "b", "c", "d"].map(endpoint);
+    endpoints[0].has_queue = true;
+    let begun = moves(&row, &load, &endpoints);
     expect_that!(begun.len(), ge(2));
-    for wish in begun {
-        expect_that!(wish.span.overlaps(hot(500)), eq(false));
+    for planned in begun {
+        expect_that!(planned.span.overlaps(hot(500)), eq(false));
     }
 }
 
-/// Endpoints with two slots do eight requests a second, of which a short look has three
-/// or four. One that had six by chance used to give keys away.
+/// Guards against moves because of random fluctuation. Endpoints with two slots serve eight
+/// requests a second, of which the short window contains three or four; one with six by chance must
+/// not give keys away.
 #[gtest]
-fn chance_moves_nothing() {
+fn random_fluctuation_moves_nothing() {
     let row = even(&["a", "b"]);
     let mut load = KeyLoads::new(Mono(0), 400.0, 400.0);
     for key in [100, 200, 300, 400, 500] {
         load.add(key);
     }
     load.add(40_000);
-    let mut places = ["a", "b"].map(place);
-    for place in &mut places {
-        place.capacity = 8.0;
-        place.has_queue = true;
+    let mut endpoints = ["a", "b"].map(endpoint);
+    for endpoint in &mut endpoints {
+        endpoint.capacity = 8.0;
+        endpoint.has_queue = true;
     }
-    expect_that!(moves(&row, &load, &places), is_empty());
+    expect_that!(moves(&row, &load, &endpoints), is_empty());
 }
 
-/// A third of all requests are for one range of a service with many endpoints. By
-/// twelve moves at a time it took longer to spread than it was hot.
+/// Guards against a hot range of a large service that is spread too slowly: with twelve concurrent
+/// moves, spreading it takes longer than it is hot.
 #[gtest]
 fn a_hot_range_of_a_large_service_is_spread_at_once() {
     let names: Vec<_> = (0..480).map(|n| format!("e{n:03}")).collect();
@@ -262,13 +266,13 @@
         last: 299,
     };
     add(&mut load, hot, 3_600.0);
-    let places: Vec<_> = names.iter().map(|name| place(name)).collect();
-    let begun = moves(&row, &load, &places);
+    let endpoints: Vec<_> = names.iter().map(|name| endpoint(name)).collect();
+    let begun = moves(&row, &load, &endpoints);
     expect_that!(begun.len(), ge(30));
 }
 
-/// Each hot range leaves dozens of cuts behind. After half a minute the row was as long
-/// as the store takes, nothing could be cut any more, and hot ranges stayed whole.
+/// Guards against a full row: each hot range leaves dozens of small pieces behind, and after half a
+/// minute the row has the maximum size, so that hot ranges can no longer be split.
 #[gtest]
 fn small_pieces_go_to_their_neighbours_owners_when_there_are_too_many() {
     let ids = ["a", "b", "c"];
@@ -284,26 +288,29 @@
         row.ranges.push(piece);
     }
     let load = KeyLoads::new(Mono(0), 1_500.0, 1_500.0);
-    let begun = moves(&row, &load, &ids.map(place));
+    let begun = moves(&row, &load, &ids.map(endpoint));
     let mut after = row.clone();
-    for wish in &begun {
-        let moved = after.ranges.iter_mut().find(|r| r.first == wish.span.first);
+    for planned in &begun {
+        let moved = after
+            .ranges
+            .iter_mut()
+            .find(|r| r.first == planned.span.first);
         if let Some(range) = moved {
-            range.holder.endpoint = wish.to.clone();
+            range.holder.endpoint = planned.to.clone();
         }
     }
-    let joints = |row: &Assignment| {
+    let boundaries = |row: &Assignment| {
         let pairs = row.ranges.windows(2);
         pairs
             .filter(|p| p[0].holder.endpoint != p[1].holder.endpoint)
             .count()
     };
-    expect_that!(joints(&after) + 8, le(joints(&row)));
+    expect_that!(boundaries(&after) + 8, le(boundaries(&row)));
 }
 
-/// A hundred endpoints of a service that is full already are lost at once. Their ranges
-/// are given away in a few parts each, not key by key: a plan of 6,000 moves kept the
-/// leader busy until others took its duty.
+/// Guards against a plan with too many moves. A hundred endpoints of a full service are lost at
+/// once, and their ranges move in a few pieces each, not key by key: a plan of 6,000 moves keeps
+/// the leader busy until another instance replaces it.
 #[gtest]
 fn many_lost_endpoints_of_a_full_service_leave_few_parts() {
     let names: Vec<_> = (0..300).map(|n| format!("e{n:03}")).collect();
@@ -315,19 +322,19 @@
         last: LAST_KEY,
     };
     add(&mut load, all, 300.0 * CAPACITY);
-    let mut places: Vec<_> = names.iter().map(|name| place(name)).collect();
-    for place in places.iter_mut().step_by(3) {
-        place.must_drain = true;
-        place.accepts_keys = false;
+    let mut endpoints: Vec<_> = names.iter().map(|name| endpoint(name)).collect();
+    for endpoint in endpoints.iter_mut().step_by(3) {
+        endpoint.must_drain = true;
+        endpoint.accepts_keys = false;
     }
-    let begun = moves(&row, &load, &places);
+    let begun = moves(&row, &load, &endpoints);
     expect_that!(begun.len(), all!(ge(100), lt(600)));
 }
 
-/// A hot range was halved from endpoint to endpoint, and each of those that got a half had
-/// many times what it can do until the next look. Each gets what it has room for.
+/// Guards against overloading the targets of moves: a hot range that is halved from endpoint to
+/// endpoint gives each of them many times its capacity until the next plan.
 #[gtest]
-fn nobody_is_given_more_than_it_can_do() {
+fn no_endpoint_is_given_more_than_its_capacity() {
     let names: Vec<_> = (0..40).map(|n| format!("e{n:02}")).collect();
     let names: Vec<_> = names.iter().map(String::as_str).collect();
     let row = even(&names);
@@ -337,18 +344,17 @@
         last: 299,
     };
     add(&mut load, hot, 20.0 * CAPACITY);
-    let places: Vec<_> = names.iter().map(|name| place(name)).collect();
-    let begun = moves(&row, &load, &places);
+    let endpoints: Vec<_> = names.iter().map(|name| endpoint(name)).collect();
+    let begun = moves(&row, &load, &endpoints);
     expect_that!(begun.len(), ge(8));
-    for wish in begun {
-        let given = load.of(wish.span);
+    for planned in begun {
+        let given = load.of(planned.span);
         expect_that!(given, le(CAPACITY * 1.1));
     }
 }
 
-/// Requests of a service with many endpoints as chance brings them: each key of a range is
-/// as likely as another, at seven a second for each endpoint.
-fn by_chance(endpoints: usize, ms: u64, random: &mut Random) -> KeyLoads {
+/// Load of random requests: all keys are equally likely, seven requests a second for each endpoint.
+fn random_load(endpoints: usize, ms: u64, random: &mut Random) -> KeyLoads {
     let mut load = KeyLoads::new(Mono(0), 6_000.0, 400.0);
     let per_ms = endpoints as u64 * 7;
     for at in (0..ms).step_by(100) {
@@ -362,30 +368,30 @@
     load
 }
 
-/// A large service at two thirds of what it can do. By what the last half second brought,
-/// dozens of endpoints seemed to have too much, and two keys in three changed hands within
-/// a minute, while callers of the ranges on their way waited.
+/// Guards against moves because of random fluctuation in a large service at two thirds of its
+/// capacity: by the requests of the last half second dozens of endpoints seem overloaded, and two
+/// keys in three move within a minute while their requests wait.
 #[gtest]
-fn chance_sets_no_range_apart_in_a_large_service() {
-    let load = by_chance(200, 8_000, &mut Random::new(5));
+fn random_fluctuation_changes_no_rate_in_a_large_service() {
+    let load = random_load(200, 8_000, &mut Random::new(5));
     for i in 0..200_u16 {
         let span = Span {
             first: i * 327,
             last: i * 327 + 326,
         };
-        // Seven a second; by chance the last half second had none to fifteen.
+        // Seven a second; by chance the last half second has 0 to 15.
         expect_that!(load.of(span), all!(gt(3.5), lt(11.0)));
     }
 }
 
-/// One range gets a hundred requests a second more, a quarter of a second ago.
+/// A range has got a hundred more requests a second for a quarter of a second.
 #[gtest]
 fn a_hot_range_is_seen_within_a_quarter_of_a_second() {
     let ids: Vec<_> = (0..20).map(|i| format!("e{i}")).collect();
     let ids: Vec<_> = ids.iter().map(String::as_str).collect();
     let row = even(&ids);
-    let places: Vec<_> = ids.iter().map(|id| place(id)).collect();
-    let mut load = by_chance(20, 8_000, &mut Random::new(6));
+    let endpoints: Vec<_> = ids.iter().map(|id| endpoint(id)).collect();
+    let mut load = random_load(20, 8_000, &mut Random::new(6));
     let hot = Span {
         first: 500,
         last: 549,
@@ -393,9 +399,12 @@
     for i in 0..25 {
         load.add(hot.first + 2 * i);
     }
-    let begun = moves(&row, &load, &places);
-    expect_that!(begun.iter().any(|wish| wish.span.overlaps(hot)), eq(true));
-    // And is over half a second after it has ended.
+    let begun = moves(&row, &load, &endpoints);
+    expect_that!(
+        begun.iter().any(|planned| planned.span.overlaps(hot)),
+        eq(true)
+    );
+    // Half a second after the end of the additional load, the range is no longer hot.
     load.decay(Mono(9_500));
     expect_that!(load.of(hot), lt(30.0));
 }
--- a/crates/citronway-core/tests/gateway_registry.rs
+++ b/crates/citronway-core/tests/gateway_registry.rs
@@ -1,4 +1,4 @@
-//! Listed endpoints: leaving, lapsing in an outage, addresses that are used again.
+//! Registry of endpoints: drains, entries that expire in an outage, reused names and addresses.
 
 use citronway_core::gateway::registry::{LAPSE_GRACE_MS, Listing, Registry};
 use citronway_core::ids::{EndpointName, EndpointStart, ServiceName, ZoneName};
@@ -38,11 +38,10 @@
     expect_that!(names(&registry), elements_are![eq("two")]);
 }
 
-/// The store is away for some seconds and comes back without most entries, which had
-/// lapsed meanwhile. Their endpoints list themselves again within two seconds. Whoever
-/// drops them at once refuses all callers until then.
+/// Guards against refusing all requests after an outage of the store. It comes back without most
+/// entries, which have expired, and their endpoints list themselves again within two seconds.
 #[gtest]
-fn entries_that_lapsed_in_an_outage_are_believed_for_two_seconds() {
+fn entries_that_lapsed_in_an_outage_are_kept_for_two_seconds() {
     let mut registry = two();
     registry.store_lost();
     registry.store_regained(Mono(9_000));
@@ -65,8 +64,8 @@
     expect_that!(names(&registry), elements_are![eq("two")]);
 }
 
-/// An endpoint crashes and its address goes to one of another service within seconds,
-/// while its own entry has not lapsed. Requests for the first would reach the second.
+/// Guards against requests that reach an endpoint of another service: an endpoint crashes, and its
+/// address is reused by another service within seconds, before its own entry expires.
 #[gtest]
 fn a_new_start_at_an_address_ends_the_old_one() {
     let mut registry = two();
@@ -78,10 +77,10 @@
     expect_that!(registry.is_replaced(&old, address), eq(true));
 }
 
-/// An endpoint crashes behind a cut and starts again under another name. Seconds later
-/// an entry that the first start had written arrives at last. Whoever takes that for
-/// the newer start drops the living one, and gives its keys to another endpoint while
-/// it still works on them.
+/// Guards against an entry that arrives late. An endpoint crashes while it is cut off and restarts
+/// under another name. Seconds later the last entry of the first start arrives. If it counted as
+/// newer, the running start would be dropped and its keys would be assigned to another endpoint
+/// while it still works on them.
 #[gtest]
 fn a_late_entry_of_an_ended_start_changes_nothing() {
     let mut registry = two();
@@ -99,8 +98,8 @@
     );
 }
 
-/// A process starts and reads two entries with one address. Nothing tells which start
-/// is the later one, so neither is taken for ended.
+/// A process starts and reads two entries with the same address. It cannot know which start is the
+/// later one, so neither counts as ended.
 #[gtest]
 fn two_entries_read_at_once_prove_nothing() {
     let mut registry = Registry::default();
@@ -126,10 +125,10 @@
 #[gtest]
 fn a_draining_endpoint_keeps_its_keys_for_a_moment_only() -> Result<()> {
     let mut registry = two();
-    let mut leaving = listing("one", 1);
-    leaving.draining = true;
-    registry.put(Mono(1_000), leaving.clone());
-    registry.put(Mono(1_200), leaving);
+    let mut draining = listing("one", 1);
+    draining.draining = true;
+    registry.put(Mono(1_000), draining.clone());
+    registry.put(Mono(1_200), draining);
     let known = registry.get(&EndpointStart::new("one", None)).or_fail()?;
     expect_that!(known.accepts_work(), eq(false));
     expect_that!(known.accepts_owned_work(Mono(1_299)), eq(true));
@@ -137,11 +136,11 @@
     Ok(())
 }
 
-/// One instance is cut off while an endpoint leaves. Back at the store it finds the
-/// entry missing, takes that for a lapse in an outage, and sends there for two seconds
-/// more. Others that saw newer rows meanwhile show that there was no outage.
+/// Guards against requests to a stopped endpoint for another two seconds. One instance is cut off
+/// while the endpoint is removed, and after its return it would treat the missing entry as expired
+/// in an outage. Newer rows at other instances show that there was no outage.
 #[gtest]
-fn an_entry_that_went_while_only_this_instance_was_cut_off_is_gone() {
+fn an_entry_removed_while_only_this_instance_was_cut_off_is_dropped() {
     let mut registry = two();
     registry.store_lost();
     registry.outage_was_local();
@@ -149,26 +148,28 @@
     expect_that!(names(&registry), elements_are![eq("two")]);
 }
 
-/// An endpoint says that it leaves and stays after all. Instances that had seen both
-/// refused its keys for good, while those that started later served them.
+/// Guards against a drain that cannot be cancelled: an endpoint starts to drain and then goes on.
+/// Instances that saw both entries refused requests for its keys for good, while instances that
+/// started later served them.
 #[gtest]
-fn an_endpoint_that_stays_after_all_keeps_its_keys() {
+fn an_endpoint_whose_drain_is_cancelled_keeps_its_keys() {
     let mut registry = two();
-    let mut leaving = listing("one", 1);
-    leaving.draining = true;
-    registry.put(Mono(1_000), leaving.clone());
+    let mut draining = listing("one", 1);
+    draining.draining = true;
+    registry.put(Mono(1_000), draining.clone());
     registry.put(Mono(2_000), listing("one", 1));
-    let takes = |registry: &Registry, now| {
+    let accepts = |registry: &Registry, now| {
         let known = registry.get(&EndpointStart::new("one", None));
         known.is_some_and(|known| known.accepts_owned_work(now))
     };
-    expect_that!(takes(&registry, Mono(60_000)), eq(true));
-    registry.put(Mono(70_000), leaving);
-    expect_that!(takes(&registry, Mono(70_100)), eq(true));
-    expect_that!(takes(&registry, Mono(72_000)), eq(false));
+    expect_that!(accepts(&registry, Mono(60_000)), eq(true));
+    registry.put(Mono(70_000), draining);
+    expect_that!(accepts(&registry, Mono(70_100)), eq(true));
+    expect_that!(accepts(&registry, Mono(72_000)), eq(false));
 }
 
-fn born(name: &str, port: u16, born_ms: u64) -> Listing {
+/// Entry of a start with the start time `born_ms`.
+fn listing_with_start(name: &str, port: u16, born_ms: u64) -> Listing {
     Listing {
         start: EndpointStart::new(name, Some(born_ms)),
         ..listing(name, port)
@@ -177,19 +178,19 @@
 
 fn starts(registry: &Registry) -> Vec<u64> {
     let listed = registry.iter();
-    let born = listed.filter_map(|known| known.listing.start.born_ms());
-    born.collect()
+    let start_times = listed.filter_map(|known| known.listing.start.born_ms());
+    start_times.collect()
 }
 
-/// An endpoint crashes and starts again under its name. What was known of the earlier
-/// start, that it was draining and long warm, is not true of the new one.
+/// An endpoint crashes and restarts under its name. The state of the earlier start, which was
+/// draining and warm, does not apply to the new one.
 #[gtest]
 fn a_start_under_the_same_name_is_another() -> Result<()> {
     let mut registry = Registry::default();
-    let mut first = born("one", 1, 1_000);
+    let mut first = listing_with_start("one", 1, 1_000);
     first.draining = true;
     registry.put(Mono(10), first.clone());
-    let mut second = born("one", 1, 2_000);
+    let mut second = listing_with_start("one", 1, 2_000);
     second.cold_ms = 500;
     registry.put(Mono(3_000), second.clone());
     expect_that!(registry.get(&first.start).is_some(), eq(false));
@@ -201,51 +202,51 @@
     Ok(())
 }
 
-/// The last entry that an ended start had written lands after the first of its successor
-/// under the same name. The successor's next entry follows within a second.
+/// Guards against the last entry of an ended start that arrives after the first entry of its
+/// successor under the same name. The successor's next entry follows within a second.
 #[gtest]
-fn a_late_entry_under_the_same_name_ends_nobody() {
+fn a_late_entry_under_the_same_name_does_not_replace_the_running_start() {
     let mut registry = Registry::default();
-    registry.put(Mono(10), born("one", 1, 2_000));
-    registry.put(Mono(20), born("one", 1, 1_000));
+    registry.put(Mono(10), listing_with_start("one", 1, 2_000));
+    registry.put(Mono(20), listing_with_start("one", 1, 1_000));
     expect_that!(starts(&registry), elements_are![eq(&2_000)]);
-    registry.put(Mono(900), born("one", 1, 2_000));
+    registry.put(Mono(900), listing_with_start("one", 1, 2_000));
     expect_that!(registry.expire(Mono(5_000)), eq(false));
     expect_that!(starts(&registry), elements_are![eq(&2_000)]);
 }
 
-/// The clock of an endpoint's machine is set back, then the endpoint starts again: it was
-/// born before its predecessor. No entry of that one follows, so it is taken.
+/// The clock of an endpoint's machine is set back before the endpoint restarts, so its start time
+/// is before that of its predecessor. As no further entry of the predecessor follows, the new start
+/// replaces it.
 #[gtest]
-fn a_start_that_was_born_earlier_is_taken_when_its_entry_stays() {
+fn a_start_with_an_earlier_start_time_replaces_one_that_is_not_renewed() {
     let mut registry = Registry::default();
-    registry.put(Mono(10), born("one", 1, 2_000));
-    registry.put(Mono(20), born("one", 1, 1_000));
+    registry.put(Mono(10), listing_with_start("one", 1, 2_000));
+    registry.put(Mono(20), listing_with_start("one", 1, 1_000));
     expect_that!(registry.has_expired(Mono(1_500)), eq(false));
     expect_that!(registry.expire(Mono(1_520)), eq(true));
     expect_that!(starts(&registry), elements_are![eq(&1_000)]);
 }
 
-/// An ended start's entry lapses, its successor has the address, and then an entry of the
-/// first arrives late. By the time it was seen it would be the newer one.
+/// Guards against a late entry of an ended start after its own entry has expired and its successor
+/// has the address. By the time of arrival the late entry would be the newer one.
 #[gtest]
-fn the_later_born_has_the_address() {
+fn the_start_with_the_later_start_time_keeps_the_address() {
     let mut registry = Registry::default();
-    registry.put(Mono(10), born("one", 1, 1_000));
-    registry.put(Mono(20), born("three", 1, 2_000));
+    registry.put(Mono(10), listing_with_start("one", 1, 1_000));
+    registry.put(Mono(20), listing_with_start("three", 1, 2_000));
     registry.remove(Mono(30), &EndpointName::new("one"));
-    registry.put(Mono(40), born("one", 1, 1_000));
+    registry.put(Mono(40), listing_with_start("one", 1, 1_000));
     expect_that!(names(&registry), elements_are![eq("three@2000")]);
     let one = EndpointStart::new("one", Some(1_000));
     expect_that!(
-        registry.is_replaced(&one, born("one", 1, 0).address),
+        registry.is_replaced(&one, listing_with_start("one", 1, 0).address),
         eq(true)
     );
 }
 
-/// Another writer lists something under the address of a living endpoint, for a service
-/// that no route leads to. The endpoint goes on serving; once it is gone or the service is
-/// configured, the address is the other's.
+/// Another writer lists an entry with the address of a running endpoint for a service that is not
+/// configured. The endpoint remains in use until the service is configured.
 #[gtest]
 fn an_entry_of_an_unknown_service_takes_no_address() {
     let mut registry = two();
@@ -262,10 +263,10 @@
     expect_that!(names(&registry), elements_are![eq("two"), eq("stranger")]);
 }
 
-/// An entry that cannot be read stands under the name of a known endpoint: it names none,
-/// in an outage of the store too.
+/// An unreadable entry replaces that of a listed endpoint. The endpoint is dropped, even in an
+/// outage of the store.
 #[gtest]
-fn an_entry_that_cannot_be_used_names_no_endpoint() {
+fn an_entry_that_cannot_be_used_drops_the_endpoint() {
     let mut registry = two();
     registry.store_lost();
     registry.discard(&EndpointName::new("one"));
--- a/crates/citronway-core/tests/gateway_report.rs
+++ b/crates/citronway-core/tests/gateway_report.rs
@@ -1,4 +1,4 @@
-//! What a delegate makes of the reports of its members.
+//! Aggregation of the members' reports by a delegate.
 
 use citronway_core::gateway::pace::{Answers, EndpointTag};
 use citronway_core::gateway::report::{EndpointUse, KeySamples, Observations};
@@ -26,13 +26,13 @@
     }]
 }
 
-/// Many instances told each other of each request in flight, and most bytes between zones
-/// were theirs. The leader needs where requests wait, what endpoints answered and which
-/// keys were asked for, each of them once.
+/// Guards against reports of each request from every instance to every other, which make up most of
+/// the traffic between zones. The leader needs the waiting requests, the answers of endpoints and
+/// the requested keys, each of them counted once.
 #[gtest]
 fn a_delegate_sums_up_answers_and_keys_of_all_reports_and_what_is_in_flight_now() {
     let mut gathered = GatheredReports::default();
-    // The same member twice: its first request has been answered meanwhile.
+    // Two reports of one member: its first request has been answered in between.
     gathered.add(&[used(1, 1, 0)], &keys(&[5]));
     gathered.add(&[used(1, 0, 2), used(2, 1, 0)], &keys(&[6, 7]));
     let own = Observations {
--- a/crates/citronway-core/tests/gateway_routes.rs
+++ b/crates/citronway-core/tests/gateway_routes.rs
@@ -1,4 +1,4 @@
-//! The route of a request and the division of a split route.
+//! Look-up of routes, division of a split route, and unusable configurations.
 
 use citronway_core::gateway::routes::{
     CallerLimits, CheckedRoutes, Draft, Repeat, Route, RouteTable, Service, Target,
@@ -96,10 +96,10 @@
     }
 }
 
-/// An operator adds a route that leads nowhere to a configuration of hundreds. Kept out
-/// whole, it left all callers with the old routes, or on a new instance with none.
+/// Guards against rejecting a whole configuration because of one unusable route: callers would be
+/// left with the old routes, or with none on a new instance.
 #[gtest]
-fn what_is_wrong_is_reported_together_and_the_rest_holds() {
+fn all_problems_are_reported_together_and_the_rest_is_used() {
     let mut no_time = route("t", "a", "/t/", &[("batch", 1)]);
     no_time.timeout_ms = 0;
     let checked = table(vec![
@@ -118,15 +118,15 @@
     let routes = checked.routes;
     let services = |path| {
         let (_, route) = routes.find("a", path)?;
-        let takers = (0..2).filter(|n| routes.service(route, *n).is_some());
-        Some(takers.count())
+        let served = (0..2).filter(|n| routes.service(route, *n).is_some());
+        Some(served.count())
     };
     expect_that!(services("/q/"), some(eq(0)));
     expect_that!(services("/r/"), some(eq(0)));
     expect_that!(services("/t/"), some(eq(0)));
     expect_that!(services("/s/"), some(eq(2)));
-    // The part that leads nowhere is refused, not given to the other.
+    // The part of the missing service is refused, not given to the other service.
     expect_that!(services("/half/"), some(eq(1)));
-    // Nobody can say which requests the first route would have taken.
+    // The requests that the first route matches are not known.
     expect_that!(routes.is_incomplete(), eq(true));
 }
--- a/crates/citronway-core/tests/gateway_service_limit.rs
+++ b/crates/citronway-core/tests/gateway_service_limit.rs
@@ -1,4 +1,4 @@
-//! A service whose endpoints serve any request, asked by a fleet for more than it can do.
+//! Concurrency limits of a fleet of instances for an overloaded service without keys.
 
 use std::sync::Arc;
 
@@ -19,11 +19,13 @@
 const INSTANCES: usize = 90;
 const ENDPOINTS: u16 = 28;
 const SLOTS: usize = 3;
-/// Requests that wait at an endpoint before it resets what comes.
+/// Number of waiting requests from which an endpoint resets further connections.
 const QUEUE: usize = 12;
+/// Mean duration of a request, in milliseconds.
 const WORK_MS: u64 = 77;
-/// Time in which the instances learn, and time that is looked at, in milliseconds.
-const LEARN_MS: u64 = 3_000;
+/// Time in which the limits adapt, in milliseconds.
+const ADAPT_MS: u64 = 3_000;
+/// Time over which requests are counted, in milliseconds.
 const LENGTH_MS: u64 = 10_000;
 
 fn service() -> ServiceName {
@@ -65,9 +67,10 @@
 }
 
 #[derive(Default)]
-struct Counted {
+struct Counts {
     sent: u32,
     reset: u32,
+    /// Requests served within 300 ms.
     served: u32,
 }
 
@@ -78,7 +81,7 @@
     jobs: Vec<Vec<Job>>,
     endpoints: Vec<Endpoint>,
     tickets: u64,
-    counted: Counted,
+    counts: Counts,
 }
 
 impl Fleet {
@@ -90,21 +93,22 @@
             jobs: (0..INSTANCES).map(|_| Vec::new()).collect(),
             endpoints: (0..ENDPOINTS).map(|_| Endpoint::default()).collect(),
             tickets: 0,
-            counted: Counted::default(),
+            counts: Counts::default(),
         }
     }
 
-    fn play(&mut self, from: u64, to: u64, a_second: u64) {
+    /// Runs from `from` to `to`, in milliseconds, with `per_second` requests a second.
+    fn run(&mut self, from: u64, to: u64, per_second: u64) {
         for ms in from..to {
             let now = Mono(ms);
             self.end_work(now);
             for _ in 0..10 {
-                if self.random.below(10_000) < a_second {
+                if self.random.below(10_000) < per_second {
                     self.arrive(now);
                 }
             }
             if ms.is_multiple_of(20) {
-                self.pump(now);
+                self.decide_waiting(now);
             }
         }
     }
@@ -133,7 +137,8 @@
         }
     }
 
-    fn pump(&mut self, now: Mono) {
+    /// Decides on the waiting requests of all instances.
+    fn decide_waiting(&mut self, now: Mono) {
         for i in 0..INSTANCES {
             for (ticket, decision) in self.admissions[i].decide_waiting(now, &self.views[i]) {
                 self.jobs[i].retain(|job| job.ticket != ticket);
@@ -145,11 +150,11 @@
     }
 
     fn send(&mut self, now: Mono, instance: usize, choice: Choice) {
-        self.counted.sent += 1;
+        self.counts.sent += 1;
         let at = usize::from(choice.address.port());
         let endpoint = &mut self.endpoints[at];
         if endpoint.running.len() == SLOTS && endpoint.waiting.len() == QUEUE {
-            self.counted.reset += 1;
+            self.counts.reset += 1;
             let admission = &mut self.admissions[instance];
             admission.record_finished(&choice.endpoint);
             admission.record_reset(now, &choice.endpoint);
@@ -187,7 +192,7 @@
     }
 
     fn answer(&mut self, now: Mono, at: usize, sent: &Sent) {
-        self.counted.served += u32::from(now.since(sent.arrived) <= 300);
+        self.counts.served += u32::from(now.since(sent.arrived) <= 300);
         let load = EndpointLoad {
             running: u32::try_from(self.endpoints[at].running.len()).unwrap(),
             waiting: u32::try_from(self.endpoints[at].waiting.len()).unwrap(),
@@ -200,39 +205,40 @@
     }
 }
 
-/// Guards against instances that overrun endpoints whose load they learn too late, and resets.
+/// Guards against instances that overload endpoints because they learn of their load too late, and
+/// against the resets that follow.
 #[gtest]
-fn a_service_that_cannot_do_it_all_is_not_overrun() {
-    let can_do = u64::from(ENDPOINTS) * SLOTS as u64 * 1_000 / WORK_MS;
+fn an_overloaded_service_is_not_overrun() {
+    let capacity = u64::from(ENDPOINTS) * SLOTS as u64 * 1_000 / WORK_MS;
     for seed in 0..4 {
         let mut fleet = Fleet::new(seed);
-        fleet.play(1, LEARN_MS, can_do * 3 / 2);
-        fleet.counted = Counted::default();
-        fleet.play(LEARN_MS, LEARN_MS + LENGTH_MS, can_do * 3 / 2);
-        let Counted {
+        fleet.run(1, ADAPT_MS, capacity * 3 / 2);
+        fleet.counts = Counts::default();
+        fleet.run(ADAPT_MS, ADAPT_MS + LENGTH_MS, capacity * 3 / 2);
+        let Counts {
             sent,
             reset,
             served,
-        } = fleet.counted;
+        } = fleet.counts;
         expect_that!(reset * 50, le(sent), "seed {seed}: {reset} of {sent} reset");
-        // What it can do is used, and answered soon after it was sent.
-        let wanted = u32::try_from(can_do * LENGTH_MS / 1_000 * 8 / 10).unwrap();
+        // Its capacity is used, and requests are answered soon after they are sent.
+        let wanted = u32::try_from(capacity * LENGTH_MS / 1_000 * 8 / 10).unwrap();
         expect_that!(served, ge(wanted), "seed {seed}");
     }
 }
 
-/// Guards against a limit that holds requests back where there is room for all.
+/// Guards against a limit that delays requests where there is room for all.
 #[gtest]
 fn a_service_with_room_takes_all_at_once() {
-    let can_do = u64::from(ENDPOINTS) * SLOTS as u64 * 1_000 / WORK_MS;
+    let capacity = u64::from(ENDPOINTS) * SLOTS as u64 * 1_000 / WORK_MS;
     let mut fleet = Fleet::new(9);
-    fleet.play(1, LEARN_MS + LENGTH_MS, can_do / 2);
+    fleet.run(1, ADAPT_MS + LENGTH_MS, capacity / 2);
     let wanted = fleet.tickets * 97 / 100;
-    expect_that!(u64::from(fleet.counted.served), ge(wanted));
-    expect_that!(fleet.counted.reset, eq(0));
+    expect_that!(u64::from(fleet.counts.served), ge(wanted));
+    expect_that!(fleet.counts.reset, eq(0));
 }
 
-/// Guards against a limit that never comes back once endpoints were full.
+/// Guards against a limit that does not grow again after endpoints were full.
 #[gtest]
 fn a_limit_shrinks_to_one_request_and_grows_again() {
     let full = EndpointLoad {
@@ -252,21 +258,21 @@
         limit.record_answer(Some(free), 300);
     }
     expect_that!(limit.limit(), gt(5.0));
-    // One that is not used says nothing.
+    // A limit that is not reached does not grow.
     let before = limit.limit();
     limit.record_answer(Some(free), 0);
     expect_that!(limit.limit(), eq(before));
 }
 
-/// Guards against a limit that holds back an instance which sends hundreds of requests at once.
+/// Guards against a limit that is too low for an instance with hundreds of concurrent requests.
 #[gtest]
-fn an_instance_with_many_requests_is_not_held_back() {
+fn an_instance_with_many_requests_is_not_limited() {
     let mut limit = ServiceLimit::default();
     expect_that!(limit.has_room(300, 0.5), eq(true));
     limit.record_rejection(Mono(1_000), 300);
     let after = limit.limit();
     expect_that!(after, all!(gt(200.0), lt(301.0)));
-    // Within a thousand answers, seconds of its traffic, it has grown by several requests.
+    // By a thousand answers, seconds of its traffic, the limit grows by several requests.
     for _ in 0..1_000 {
         limit.record_answer(None, 300);
     }
--- a/crates/citronway-core/tests/gateway_shares.rs
+++ b/crates/citronway-core/tests/gateway_shares.rs
@@ -1,4 +1,4 @@
-//! Places at endpoints and second sends, divided among instances without asking.
+//! Division of endpoint capacity and retry budget among instances without communication.
 
 use citronway_core::gateway::budget::{FleetSize, RetryLimit, SharedRetryBudget};
 use citronway_core::gateway::share::{Demand, fair_share, in_flight_limit, share_of_free};
@@ -14,17 +14,18 @@
     wanted.iter().enumerate().map(one).collect()
 }
 
-fn shares(places: u32, wanted: &[u32]) -> Vec<u32> {
+/// Share of each instance in `limit` requests in flight.
+fn shares(limit: u32, wanted: &[u32]) -> Vec<u32> {
     let all = demands(wanted);
     let share = |i: usize| {
         let others: Vec<_> = all.iter().filter(|d| d.rank != i as u64).copied().collect();
-        fair_share(places, all[i], &others)
+        fair_share(limit, all[i], &others)
     };
     (0..all.len()).map(share).collect()
 }
 
 #[gtest]
-fn while_there_is_room_nobody_is_held_back() {
+fn while_there_is_room_no_instance_is_limited() {
     expect_that!(shares(9, &[3, 2, 0]), elements_are![eq(&7), eq(&6), eq(&4)]);
 }
 
@@ -34,12 +35,13 @@
     expect_that!(in_flight_limit(2), eq(3));
 }
 
-/// Ninety instances have one request each for an endpoint with nine places and know the
-/// sum alone. Counting whole shares, none of them would send; each gets its turn. While the
-/// endpoint is full nobody sends: with a part of all places instead of the free ones, each
-/// draw added some, and endpoints that keep silent when they are full lost one in five.
+/// Ninety instances have one request each for an endpoint with room for nine and know only the
+/// total. With whole shares none of them would send, so fractions are decided at random. Guards
+/// against requests to a full endpoint: with a share of the whole limit instead of the free
+/// capacity, each draw adds requests, and endpoints that drop requests when they are full lose one
+/// in five.
 #[gtest]
-fn fractions_of_a_place_go_round() {
+fn fractional_shares_are_decided_at_random() {
     let draws = 1_000;
     for (in_flight, free) in [(0, 9.0), (5, 4.0), (9, 0.0), (30, 0.0)] {
         let mut given = 0;
@@ -56,21 +58,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
 
-    /// More instances want places than there are. All that see the same demands fill
-    /// the places exactly: an endpoint that resets what it cannot queue loses requests
-    /// that may not be repeated.
+    /// Instances with the same view of the demands fill a full endpoint exactly. Guards against
+    /// an endpoint that resets what it cannot queue, which loses requests that may not be
+    /// repeated.
     #[test]
     fn shares_of_a_full_endpoint_add_up(
         wanted in proptest::collection::vec(0_u32..40, 2..14),
-        places in 1_u32..12,
+        limit in 1_u32..12,
     ) {
         let total: u32 = wanted.iter().sum();
-        let shares = shares(places, &wanted);
-        if total > places {
-            prop_assert_eq!(shares.iter().sum::<u32>(), places);
+        let shares = shares(limit, &wanted);
+        if total > limit {
+            prop_assert_eq!(shares.iter().sum::<u32>(), limit);
         }
         for (share, wanted) in shares.iter().zip(&wanted) {
-            prop_assert!(total <= places || share <= wanted);
+            prop_assert!(total <= limit || share <= wanted);
         }
     }
 }
@@ -81,10 +83,10 @@
     window_ms: 10_000,
 };
 
-/// Endpoints fail most requests at once, and each of ten instances sends as much again
-/// as it may. Together they stay within what the users allow in any ten seconds.
+/// Endpoints fail most requests at once, and each of ten instances retries as often as its budget
+/// allows. Together they stay within the shared limit in any ten seconds.
 #[gtest]
-fn second_sends_of_all_instances_stay_within_the_shared_limit() {
+fn retries_of_all_instances_stay_within_the_shared_limit() {
     let mut all: Vec<_> = (0..10).map(|_| SharedRetryBudget::new(LIMIT)).collect();
     let mut sent = Vec::new();
     let mut asked = Vec::new();
@@ -115,9 +117,10 @@
     expect_that!(budget.try_take(Mono(20_500), 10), eq(true));
 }
 
-/// Guards against a new leader that hears of few, by which each instance takes the slack of all.
+/// Guards against instances that each use the slack of the whole fleet because a new leader knows
+/// of only a few instances at first.
 #[gtest]
-fn second_sends_stay_within_the_limit_while_the_leader_changes() {
+fn retries_stay_within_the_limit_while_the_leader_changes() {
     const INSTANCES: u32 = 87;
     let limit = RetryLimit {
         ratio: 0.2,
@@ -126,13 +129,13 @@
     };
     let mut fleet = FleetSize::default();
     fleet.update(Mono(0), INSTANCES);
-    for (at, told) in [(9_000, 1), (9_200, 8), (9_400, 26), (9_600, 87)] {
-        fleet.update(Mono(at), told);
+    for (at, announced) in [(9_000, 1), (9_200, 8), (9_400, 26), (9_600, 87)] {
+        fleet.update(Mono(at), announced);
         let now = Mono(at);
         let mut all = 0;
         for _ in 0..INSTANCES {
-            let mut sends = SharedRetryBudget::new(limit);
-            while sends.try_take(now, fleet.count()) {
+            let mut budget = SharedRetryBudget::new(limit);
+            while budget.try_take(now, fleet.count()) {
                 all += 1;
             }
         }
@@ -140,9 +143,10 @@
     }
 }
 
-/// Guards against a fleet that was large once and refuses second sends for ever.
+/// Guards against a fleet that was large once and therefore never gets a larger budget for each
+/// instance.
 #[gtest]
-fn a_smaller_fleet_counts_once_it_was_told_for_long() {
+fn a_smaller_fleet_size_is_used_after_a_delay() {
     let mut fleet = FleetSize::default();
     fleet.update(Mono(0), 87);
     fleet.update(Mono(14_000), 20);
--- a/crates/citronway-core/tests/gateway_tree.rs
+++ b/crates/citronway-core/tests/gateway_tree.rs
@@ -1,5 +1,5 @@
-//! Reports and sums in large fleets, without a network: who tells whom, how often, and how
-//! soon all are told again after losses.
+//! The reporting tree of large fleets in a simulated network: number of messages, and time without
+//! totals after failures.
 
 mod tree_world;
 
@@ -9,30 +9,39 @@
 
 use tree_world::{Link, World};
 
-/// Longest time without sums in a calm fleet, in milliseconds: two of the leader's turns.
+/// Longest time without totals in a fleet without failures, in milliseconds: two intervals.
 const CALM_MS: u64 = 500;
 
-/// Silence from which a leader is replaced, in milliseconds.
+/// Silence after which a leader is replaced, in milliseconds.
 const LEADER_SILENT_MS: u64 = 1_000;
 
-/// Time after the third crash in which all instances are to know it, in milliseconds.
+/// Time after the third crash by which all instances must know of it, in milliseconds.
 const KNOWN_WITHIN_MS: u64 = 3_000;
 
 const HARMFUL: Fingerprint = Fingerprint(7);
 
 #[gtest]
-fn all_are_told_and_heard_within_a_second_of_a_start() {
+fn all_instances_get_totals_and_report_within_a_second_of_a_start() {
     for instances in [30, 100, 300] {
         let mut world = World::new(instances, 1);
         world.run(1_000);
-        expect_that!(world.longest_untold_ms(), lt(CALM_MS), "{instances}");
-        expect_that!(world.heard(), eq(instances - 1), "{instances}");
+        expect_that!(
+            world.longest_without_totals_ms(),
+            lt(CALM_MS),
+            "{instances}"
+        );
+        expect_that!(
+            world.reporting_instances(),
+            eq(instances - 1),
+            "{instances}"
+        );
     }
 }
 
-/// 295 instances told all others of their requests each 0.6 s: 490 datagrams a second came
-/// to each, and the fleet sent 145,000. A member's cost must not grow with the fleet, and
-/// the leader's and a delegate's by the square root at most.
+/// Guards against traffic that grows with the square of the fleet: with reports of 295 instances to
+/// all others every 0.6 s, each receives 490 datagrams a second and the fleet sends 145,000. The
+/// traffic of a member must not grow with the fleet, and that of the leader and of a delegate at
+/// most with its square root.
 #[gtest]
 fn what_an_instance_sends_and_gets_does_not_grow_with_the_square() {
     let costs = [30, 300, 3_000].map(|instances| {
@@ -40,44 +49,44 @@
         world.run(2_000);
         world.reset_counts();
         world.run(2_000);
-        let a_second = |count: usize| count as f64 / 2.0;
-        let member = a_second(world.most_of_a_member());
+        let per_second = |count: usize| count as f64 / 2.0;
+        let member = per_second(world.max_count_of_members());
         let root = f64::from(u32::try_from(instances).unwrap()).sqrt();
-        let delegate = a_second(world.most_of_a_delegate()) / root;
-        let leader = a_second(world.of_the_leader()) / root;
+        let delegate = per_second(world.max_count_of_delegates()) / root;
+        let leader = per_second(world.leader_count()) / root;
         (member, delegate, leader)
     });
     for (member, delegate, leader) in costs {
-        // Five reports and five sums.
+        // Five reports and five totals.
         expect_that!(member, le(11.0));
-        // For each member five reports and five sums; ten reports and five sums of its own.
+        // Five reports and five totals for each member, and its own ten reports and five totals.
         expect_that!(delegate, le(25.0));
         expect_that!(leader, le(25.0));
     }
 }
 
-/// A delegate loses power. Its members hear nothing, would take the leader for silent after
-/// a second, and hundreds of them would claim its duty.
+/// Guards against claims of leadership by the members of a delegate that loses power: they receive
+/// nothing and would consider the leader silent after a second.
 #[gtest]
-fn members_of_a_lost_delegate_are_told_before_they_take_the_leader_for_lost() {
+fn members_of_a_lost_delegate_get_totals_before_they_consider_the_leader_lost() {
     for seed in 0..20 {
         let mut world = World::new(300, seed);
         world.run(2_000);
-        let delegate = world.a_delegate();
+        let delegate = world.largest_delegate();
         world.kill(delegate);
-        let worst = world.worst_untold_ms(3_000, &[delegate]);
+        let worst = world.worst_without_totals_ms(3_000, &[delegate]);
         expect_that!(worst, lt(LEADER_SILENT_MS), "seed {seed}");
-        expect_that!(world.heard(), eq(298), "seed {seed}");
+        expect_that!(world.reporting_instances(), eq(298), "seed {seed}");
     }
 }
 
-/// What a delegate sends to its members gets lost, and nothing else does. To the leader all
-/// seems well but for reports that no longer come.
+/// All messages from a delegate to its members are lost, and no others. The leader notices only
+/// that the members' reports stop.
 #[gtest]
-fn members_that_a_delegate_does_not_reach_are_told_through_another() {
+fn members_that_a_delegate_does_not_reach_get_totals_through_another() {
     let mut world = World::new(300, 4);
     world.run(2_000);
-    let delegate = world.a_delegate();
+    let delegate = world.largest_delegate();
     let members = world.members_of(delegate);
     for member in &members {
         world.cut(Link {
@@ -86,7 +95,7 @@
         });
     }
     world.run(4_000);
-    expect_that!(world.longest_untold_ms(), lt(LEADER_SILENT_MS));
+    expect_that!(world.longest_without_totals_ms(), lt(LEADER_SILENT_MS));
     for member in members {
         expect_that!(world.role(member), not(eq(Role::Alone)));
     }
@@ -94,7 +103,7 @@
 
 /// Half of all instances are killed at once and come back after two seconds.
 #[gtest]
-fn all_are_told_again_after_half_of_them_were_killed() {
+fn all_instances_get_totals_again_after_half_of_them_were_killed() {
     for seed in 0..5 {
         let mut world = World::new(300, seed);
         world.run(2_000);
@@ -104,52 +113,56 @@
         }
         world.run(2_000);
         expect_that!(
-            world.longest_untold_ms(),
+            world.longest_without_totals_ms(),
             lt(LEADER_SILENT_MS),
             "seed {seed}"
         );
         for instance in &killed {
             world.start(*instance);
         }
-        // The last call of a silent one was up to two seconds ago.
+        // The last probe of a silent instance was up to two seconds ago.
         world.run(2_500);
-        expect_that!(world.longest_untold_ms(), lt(CALM_MS), "seed {seed}");
-        expect_that!(world.heard(), eq(299), "seed {seed}");
+        expect_that!(
+            world.longest_without_totals_ms(),
+            lt(CALM_MS),
+            "seed {seed}"
+        );
+        expect_that!(world.reporting_instances(), eq(299), "seed {seed}");
     }
 }
 
 /// One in forty datagrams is lost, in all zones.
 #[gtest]
-fn lost_datagrams_leave_nobody_untold_for_long() {
+fn lost_datagrams_leave_no_instance_without_totals_for_long() {
     let mut world = World::new(300, 5);
     world.lose(0.025);
     world.run(1_000);
-    let worst = world.worst_untold_ms(10_000, &[]);
+    let worst = world.worst_without_totals_ms(10_000, &[]);
     expect_that!(worst, lt(LEADER_SILENT_MS + CALM_MS));
 }
 
-/// Instances leave one after the other, and others come: no delegate sums up for many more
-/// than the square root of all.
+/// Instances stop and start one after the other. No group becomes much larger than the square root
+/// of the fleet size.
 #[gtest]
 fn groups_stay_balanced_while_instances_come_and_go() {
     let mut world = World::new(300, 6);
     world.run(2_000);
     for round in 0..60 {
-        let one = 1 + (round * 37) % 299;
-        world.kill(one);
+        let instance = 1 + (round * 37) % 299;
+        world.kill(instance);
         world.run(400);
-        world.start(one);
+        world.start(instance);
         world.run(200);
     }
     world.run(3_000);
-    expect_that!(world.heard(), eq(299));
+    expect_that!(world.reporting_instances(), eq(299));
     expect_that!(world.largest_group(), le(27));
     expect_that!(world.groups(), all!(ge(15), le(60)));
 }
 
-/// Work crashes three endpoints, each time from another instance of a large fleet; one in forty
-/// datagrams is lost, and the delegate that was told last loses power. All others, who have seen
-/// none of the crashes, would send it on.
+/// Guards against instances that go on sending a request that has crashed three endpoints. Each
+/// crash is seen by a different instance of a large fleet, one in forty datagrams is lost, and the
+/// delegate of the last instance loses power.
 #[gtest]
 fn all_of_a_large_fleet_refuse_work_in_time_that_crashed_three_endpoints() {
     for seed in 0..10 {
@@ -157,7 +170,7 @@
         world.lose(0.025);
         world.run(2_000);
         for endpoint in 0..3 {
-            let delegate = world.a_delegate();
+            let delegate = world.largest_delegate();
             world.crash(world.members_of(delegate)[0], HARMFUL, endpoint);
             if endpoint == 2 {
                 world.run(50);
--- a/crates/citronway-core/tests/leader_world/random.rs
+++ b/crates/citronway-core/tests/leader_world/random.rs
@@ -1,4 +1,4 @@
-//! Numbers drawn from a seed (`SplitMix64`), the same on every machine.
+//! Seeded random numbers (`SplitMix64`), the same on every machine.
 
 #[derive(Debug)]
 pub struct Random(u64);
--- a/crates/citronway-core/tests/tree_world/mod.rs
+++ b/crates/citronway-core/tests/tree_world/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet in which each instance knows only what datagrams bring; instance 0 leads.
+//! Simulated fleet for the reporting tree, in which instances communicate only by datagrams.
+//! Instance 0 is the leader.
 
 use std::net::SocketAddr;
 
@@ -17,11 +18,12 @@
 
 const STEP_MS: u64 = 10;
 const ZONES: usize = 5;
-const LOOK_MS: u64 = 100;
-/// Longest time on the way, in milliseconds.
-const WAY_MS: u64 = 15;
+/// Interval at which a delegate reports, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 100;
+/// Longest network delay, in milliseconds.
+const MAX_DELAY_MS: u64 = 15;
 
-/// A way between two instances, in one direction.
+/// Connection from one instance to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Link {
     pub from: usize,
@@ -31,7 +33,7 @@
 #[derive(Debug, Clone)]
 enum Message {
     Totals(Box<Totals>),
-    /// Members that were heard, and when, and what is told of crashes.
+    /// Members with the times of their last reports, and a report with signs of crashes.
     Report(Vec<(usize, Mono)>, Box<Report>),
 }
 
@@ -39,37 +41,46 @@
 struct Instance {
     name: InstanceName,
     zone: ZoneName,
-    place: TreePosition,
-    told: Mono,
+    position: TreePosition,
+    /// Time of the last totals.
+    totals_at: Mono,
     up: bool,
+    /// Time of the last report of each member.
     heard: IndexMap<usize, Mono>,
     phase_ms: u64,
+    /// Number of datagrams sent and received.
     count: usize,
     ledger: Ledger,
-    outbox: SignQueue,
-    taken: SignReceiver,
+    sign_queue: SignQueue,
+    sign_receiver: SignReceiver,
 }
 
 pub struct World {
     now: Mono,
     all: Vec<Instance>,
     tree: Tree,
+    /// Time of the last report of each instance, as the leader knows it.
     heard: IndexMap<usize, Mono>,
-    directly: IndexMap<usize, Mono>,
+    /// Time of the last report that each instance sent to the leader itself.
+    heard_directly: IndexMap<usize, Mono>,
     branches: Vec<Branch>,
     number: u64,
-    on_the_way: Vec<(Mono, Link, Message)>,
+    in_transit: Vec<(Mono, Link, Message)>,
+    /// Connections that lose all datagrams.
     cuts: IndexSet<Link>,
+    /// Share of datagrams that are lost.
     loss: f64,
     rng: StdRng,
 }
 
+/// Address of an instance.
 fn address(instance: usize) -> SocketAddr {
     let number = u32::try_from(instance).unwrap();
     SocketAddr::from((std::net::Ipv4Addr::from_bits(0x0a00_0000 + number), 7_660))
 }
 
-fn at(address: SocketAddr) -> usize {
+/// Instance with this address.
+fn index_of(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(v4) => (v4.ip().to_bits() - 0x0a00_0000) as usize,
         SocketAddr::V6(_) => unreachable!("all addresses are of version 4"),
@@ -82,25 +93,25 @@
         let all = (0..instances).map(|i| Instance {
             name: InstanceName::new(&format!("instance-{i}")),
             zone: ZoneName::new(&format!("zone-{}", i % ZONES)),
-            place: TreePosition::default(),
-            told: Mono(1_000),
+            position: TreePosition::default(),
+            totals_at: Mono(1_000),
             up: true,
             heard: IndexMap::new(),
-            phase_ms: rng.random_range(0..LOOK_MS / STEP_MS) * STEP_MS,
+            phase_ms: rng.random_range(0..REPORT_INTERVAL_MS / STEP_MS) * STEP_MS,
             count: 0,
             ledger: Ledger::default(),
-            outbox: SignQueue::default(),
-            taken: SignReceiver::default(),
+            sign_queue: SignQueue::default(),
+            sign_receiver: SignReceiver::default(),
         });
         Self {
             now: Mono(1_000),
             all: all.collect(),
             tree: Tree::default(),
             heard: IndexMap::new(),
-            directly: IndexMap::new(),
+            heard_directly: IndexMap::new(),
             branches: Vec::new(),
             number: 0,
-            on_the_way: Vec::new(),
+            in_transit: Vec::new(),
             cuts: IndexSet::new(),
             loss: 0.0,
             rng,
@@ -114,31 +125,32 @@
         }
     }
 
-    /// Runs on; the longest time that an instance that is up was not told, but for `without`.
-    pub fn worst_untold_ms(&mut self, for_ms: u64, without: &[usize]) -> u64 {
+    /// Runs for `for_ms`. Returns the longest time for which a running instance outside `without`
+    /// had no totals, in milliseconds.
+    pub fn worst_without_totals_ms(&mut self, for_ms: u64, without: &[usize]) -> u64 {
         let end = self.now.plus(for_ms);
         let mut worst = 0;
         while self.now < end {
             self.step();
-            worst = worst.max(self.untold_ms(without));
+            worst = worst.max(self.without_totals_ms(without));
         }
         worst
     }
 
-    pub fn longest_untold_ms(&self) -> u64 {
-        self.untold_ms(&[])
+    pub fn longest_without_totals_ms(&self) -> u64 {
+        self.without_totals_ms(&[])
     }
 
-    fn untold_ms(&self, without: &[usize]) -> u64 {
+    fn without_totals_ms(&self, without: &[usize]) -> u64 {
         let others = self.all.iter().enumerate().skip(1);
-        let up = others.filter(|(i, one)| one.up && !without.contains(i));
-        up.map(|(_, one)| self.now.since(one.told))
+        let up = others.filter(|(i, instance)| instance.up && !without.contains(i));
+        up.map(|(_, instance)| self.now.since(instance.totals_at))
             .max()
             .unwrap_or(0)
     }
 
-    /// Instances that the leader has heard within its limit.
-    pub fn heard(&self) -> usize {
+    /// Number of instances with a recent report at the leader.
+    pub fn reporting_instances(&self) -> usize {
         let recent = self
             .heard
             .values()
@@ -147,54 +159,58 @@
     }
 
     pub fn reset_counts(&mut self) {
-        for one in &mut self.all {
-            one.count = 0;
+        for instance in &mut self.all {
+            instance.count = 0;
         }
     }
 
-    pub fn of_the_leader(&self) -> usize {
+    pub fn leader_count(&self) -> usize {
         self.all[0].count
     }
 
-    pub fn most_of_a_member(&self) -> usize {
-        self.most(|role| matches!(role, Role::Member(_)))
+    pub fn max_count_of_members(&self) -> usize {
+        self.max_count(|role| matches!(role, Role::Member(_)))
     }
 
-    pub fn most_of_a_delegate(&self) -> usize {
-        self.most(|role| matches!(role, Role::Delegate(_)))
+    pub fn max_count_of_delegates(&self) -> usize {
+        self.max_count(|role| matches!(role, Role::Delegate(_)))
     }
 
-    fn most(&self, of: impl Fn(Role) -> bool) -> usize {
-        let those = self
+    /// Maximum number of datagrams of an instance in a role.
+    fn max_count(&self, in_role: impl Fn(Role) -> bool) -> usize {
+        let instances = self
             .all
             .iter()
             .skip(1)
-            .filter(|one| of(one.place.role(self.now)));
-        those.map(|one| one.count).max().unwrap_or_default()
+            .filter(|instance| in_role(instance.position.role(self.now)));
+        instances
+            .map(|instance| instance.count)
+            .max()
+            .unwrap_or_default()
     }
 
     pub fn role(&self, instance: usize) -> Role {
-        self.all[instance].place.role(self.now)
+        self.all[instance].position.role(self.now)
     }
 
-    /// The delegate of a large group.
-    pub fn a_delegate(&self) -> usize {
+    /// The delegate of the largest group.
+    pub fn largest_delegate(&self) -> usize {
         let largest = self
             .branches
             .iter()
             .max_by_key(|branch| branch.members.len());
-        at(largest.expect("a group").to)
+        index_of(largest.expect("a group").to)
     }
 
     pub fn members_of(&self, delegate: usize) -> Vec<usize> {
         let branch = self
             .branches
             .iter()
-            .find(|branch| at(branch.to) == delegate);
+            .find(|branch| index_of(branch.to) == delegate);
         let members = branch
             .map(|branch| branch.members.clone())
             .unwrap_or_default();
-        members.into_iter().map(at).collect()
+        members.into_iter().map(index_of).collect()
     }
 
     pub fn groups(&self) -> usize {
@@ -209,19 +225,19 @@
             .unwrap_or_default()
     }
 
-    /// An endpoint crashes with work that an instance had sent there.
+    /// Crashes an endpoint with a request that an instance has sent to it.
     pub fn crash(&mut self, instance: usize, work: Fingerprint, endpoint: u32) {
         let endpoint = EndpointTag(endpoint);
         let sign = Sign::Crash { work, endpoint };
-        let one = &mut self.all[instance];
-        one.ledger.apply(self.now, sign);
-        one.outbox.push(sign);
+        let instance = &mut self.all[instance];
+        instance.ledger.apply(self.now, sign);
+        instance.sign_queue.push(sign);
     }
 
-    /// Instances that are up and do not refuse work.
+    /// Number of running instances that do not refuse a request.
     pub fn sending(&self, work: Fingerprint) -> usize {
-        let up = self.all.iter().filter(|one| one.up);
-        up.filter(|one| !one.ledger.is_refused(self.now, work))
+        let up = self.all.iter().filter(|instance| instance.up);
+        up.filter(|instance| !instance.ledger.is_refused(self.now, work))
             .count()
     }
 
@@ -231,11 +247,11 @@
 
     pub fn start(&mut self, instance: usize) {
         let now = self.now;
-        let one = &mut self.all[instance];
-        one.up = true;
-        one.told = now;
-        one.place = TreePosition::default();
-        one.heard.clear();
+        let instance = &mut self.all[instance];
+        instance.up = true;
+        instance.totals_at = now;
+        instance.position = TreePosition::default();
+        instance.heard.clear();
     }
 
     pub fn cut(&mut self, link: Link) {
@@ -250,7 +266,7 @@
         self.now = self.now.plus(STEP_MS);
         self.deliver();
         if self.now.0.is_multiple_of(TOTALS_INTERVAL_MS) {
-            self.tell();
+            self.send_totals();
         }
         for instance in 1..self.all.len() {
             self.report(instance);
@@ -266,74 +282,79 @@
         if self.cuts.contains(&link) || self.rng.random_bool(self.loss) {
             return;
         }
-        let due = self.now.plus(self.rng.random_range(1..=WAY_MS));
-        self.on_the_way.push((due, link, message));
+        let due = self.now.plus(self.rng.random_range(1..=MAX_DELAY_MS));
+        self.in_transit.push((due, link, message));
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.on_the_way)
+        let (due, later) = std::mem::take(&mut self.in_transit)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
-        self.on_the_way = later;
+        self.in_transit = later;
         let due: Vec<(Mono, Link, Message)> = due;
         for (_, link, message) in due {
             if self.all[link.to].up {
                 self.all[link.to].count += 1;
-                self.take(link, message);
+                self.receive(link, message);
             }
         }
     }
 
-    fn take(&mut self, link: Link, message: Message) {
+    /// Handles a received datagram.
+    fn receive(&mut self, link: Link, message: Message) {
         let now = self.now;
         match message {
             Message::Report(members, report) if link.to == 0 => {
-                let one = &mut self.all[0];
-                for sign in one.taken.new_signs(&report) {
-                    one.ledger.apply(now, *sign);
+                let instance = &mut self.all[0];
+                for sign in instance.sign_receiver.new_signs(&report) {
+                    instance.ledger.apply(now, *sign);
                 }
-                self.directly.insert(link.from, now);
+                self.heard_directly.insert(link.from, now);
                 for (instance, at) in members.into_iter().chain([(link.from, now)]) {
                     let heard = self.heard.entry(instance).or_insert(at);
                     *heard = at.max(*heard);
                 }
             }
             Message::Report(_, report) => {
-                let one = &mut self.all[link.to];
-                one.heard.insert(link.from, now);
-                for sign in one.taken.new_signs(&report) {
-                    one.ledger.apply(now, *sign);
-                    one.outbox.push(*sign);
+                let instance = &mut self.all[link.to];
+                instance.heard.insert(link.from, now);
+                for sign in instance.sign_receiver.new_signs(&report) {
+                    instance.ledger.apply(now, *sign);
+                    instance.sign_queue.push(*sign);
                 }
             }
             Message::Totals(mut totals) => {
-                let one = &mut self.all[link.to];
-                if !one.place.accept_totals(now, &totals, address(link.from)) {
+                let instance = &mut self.all[link.to];
+                if !instance
+                    .position
+                    .accept_totals(now, &totals, address(link.from))
+                {
                     return;
                 }
-                one.told = now;
+                instance.totals_at = now;
                 for refused in &totals.refused {
-                    one.ledger.apply_refused(now, *refused);
+                    instance.ledger.apply_refused(now, *refused);
                 }
                 let members = std::mem::take(&mut totals.members);
                 for member in members {
-                    self.send(link.to, at(member), Message::Totals(totals.clone()));
+                    self.send(link.to, index_of(member), Message::Totals(totals.clone()));
                 }
             }
         }
     }
 
-    fn tell(&mut self) {
+    /// Sends the leader's totals.
+    fn send_totals(&mut self) {
         self.number += 1;
         let others = self.all.iter().enumerate().skip(1);
         let candidates: Vec<_> = others
-            .map(|(i, one)| Candidate {
-                instance: &one.name,
+            .map(|(i, instance)| Candidate {
+                instance: &instance.name,
                 address: address(i),
-                zone: &one.zone,
+                zone: &instance.zone,
                 heard: self.heard.get(&i).copied(),
-                heard_directly: self.directly.get(&i).copied(),
+                heard_directly: self.heard_directly.get(&i).copied(),
                 strength: Strength(if i < 15 { 1_000 } else { 200 }),
                 is_staying: true,
             })
@@ -341,7 +362,7 @@
         self.branches = self.tree.plan(self.now, &candidates);
         for branch in self.branches.clone() {
             let totals = self.totals(branch.members);
-            self.send(0, at(branch.to), Message::Totals(Box::new(totals)));
+            self.send(0, index_of(branch.to), Message::Totals(Box::new(totals)));
         }
     }
 
@@ -366,23 +387,24 @@
         }
     }
 
-    fn report(&mut self, instance: usize) {
+    fn report(&mut self, index: usize) {
         let now = self.now;
-        let one = &mut self.all[instance];
-        let since = now.0 + one.phase_ms;
-        let (to, period_ms) = match one.place.role(now) {
+        let instance = &mut self.all[index];
+        let since = now.0 + instance.phase_ms;
+        let (to, period_ms) = match instance.position.role(now) {
             Role::Alone => return,
-            Role::Member(to) => (to, 2 * LOOK_MS),
-            Role::Delegate(to) => (to, LOOK_MS),
+            Role::Member(to) => (to, 2 * REPORT_INTERVAL_MS),
+            Role::Delegate(to) => (to, REPORT_INTERVAL_MS),
         };
-        let looks = since.is_multiple_of(LOOK_MS);
-        let is_due = since.is_multiple_of(period_ms) || (looks && one.outbox.has_unsent());
+        let may_send_signs = since.is_multiple_of(REPORT_INTERVAL_MS);
+        let is_due =
+            since.is_multiple_of(period_ms) || (may_send_signs && instance.sign_queue.has_unsent());
         if !is_due {
             return;
         }
-        let (first_sign, signs) = one.outbox.take();
+        let (first_sign, signs) = instance.sign_queue.take();
         let report = Box::new(Report {
-            instance: one.name.clone(),
+            instance: instance.name.clone(),
             session: SessionId(1),
             number: 1,
             stopping: false,
@@ -396,8 +418,11 @@
             signs,
             first_sign,
         });
-        let members = one.heard.iter().filter(|(_, at)| now.since(**at) < 600);
+        let members = instance
+            .heard
+            .iter()
+            .filter(|(_, at)| now.since(**at) < 600);
         let members = members.map(|(i, at)| (*i, *at)).collect();
-        self.send(instance, at(to), Message::Report(members, report));
+        self.send(index, index_of(to), Message::Report(members, report));
     }
 }
