--- a/crates/citronway-core/src/gateway/cold.rs
+++ b/crates/citronway-core/src/gateway/cold.rs
@@ -55,7 +55,7 @@
     /// Start of the latest call to the store that confirmed it as leader.
     pub confirmed_at: Mono,
     /// Times until which former leaders may still act.
-    pub rivals: PredecessorLimits,
+    pub former_leader_limits: PredecessorLimits,
     /// Number of former leaders that are not known to have stopped.
     pub former_leaders: u32,
 }
@@ -70,10 +70,10 @@
 #[must_use]
 pub fn granted_share(now: Mono, cfg: &LeaderSettings, standing: &LeaderStanding) -> Option<f64> {
     let unconfirmed_ms = now.since(standing.confirmed_at);
-    if unconfirmed_ms >= cfg.contact_limit_ms || now < standing.rivals.connect_until {
+    if unconfirmed_ms >= cfg.contact_limit_ms || now < standing.former_leader_limits.connect_until {
         return None;
     }
-    let former_leaders = if now < standing.rivals.hold_until {
+    let former_leaders = if now < standing.former_leader_limits.hold_until {
         standing.former_leaders
     } else {
         0
--- a/crates/citronway-core/src/gateway/election.rs
+++ b/crates/citronway-core/src/gateway/election.rs
@@ -155,39 +155,39 @@
 
 /// Whether this instance should claim leadership now.
 #[must_use]
-pub fn should_claim(now: Mono, at: &ElectionView<'_>) -> bool {
-    if at.unfit {
+pub fn should_claim(now: Mono, view: &ElectionView<'_>) -> bool {
+    if view.unfit {
         return false;
     }
-    let vacant_since = match at.row {
+    let vacant_since = match view.row {
         // There is a leader, and its row has not arrived yet.
-        None if at.term > 0 => return false,
-        None => Some(at.started.plus(at.strength.delay_ms())),
+        None if view.term > 0 => return false,
+        None => Some(view.started.plus(view.strength.delay_ms())),
         Some(row) => {
-            let since = vacant_since(now, at, row);
-            since.map(|since| since.max(at.row_seen.plus(TAKEOVER_GRACE_MS)))
+            let since = vacant_since(now, view, row);
+            since.map(|since| since.max(view.row_seen.plus(TAKEOVER_GRACE_MS)))
         }
     };
     let Some(since) = vacant_since else {
         return false;
     };
-    let steps = match at.row {
+    let steps = match view.row {
         // No instance knows of any other yet.
-        None => rank_of(at.me) % FIRST_CLAIM_STEPS,
-        Some(_) => rank(now, at),
+        None => rank_of(view.me) % FIRST_CLAIM_STEPS,
+        Some(_) => rank(now, view),
     };
     now >= since.plus(steps * CLAIM_STEP_MS)
 }
 
 /// Time since which the leader in `row` does not work; `None` if it does.
-fn vacant_since(now: Mono, at: &ElectionView<'_>, row: &LeaderRow) -> Option<Mono> {
-    if row.instance == *at.me {
+fn vacant_since(now: Mono, view: &ElectionView<'_>, row: &LeaderRow) -> Option<Mono> {
+    if row.instance == *view.me {
         // The row names this process or an earlier one of this instance. The earlier one has
         // ended, as this one has its address.
-        return (row.session != at.session).then_some(at.started);
+        return (row.session != view.session).then_some(view.started);
     }
-    let Some(peer) = at.peers.iter().find(|peer| peer.instance == row.instance) else {
-        return Some(at.started.plus(STARTUP_GRACE_MS)).filter(|end| *end <= now);
+    let Some(peer) = view.peers.iter().find(|peer| peer.instance == row.instance) else {
+        return Some(view.started.plus(STARTUP_GRACE_MS)).filter(|end| *end <= now);
     };
     if peer.session != row.session || peer.stopping || peer.unfit {
         return Some(peer.since);
@@ -195,7 +195,7 @@
     let silent_at = peer
         .heard
         .plus(LEADER_SILENT_MS)
-        .max(at.started.plus(STARTUP_GRACE_MS));
+        .max(view.started.plus(STARTUP_GRACE_MS));
     (silent_at <= now).then_some(silent_at)
 }
 
@@ -208,8 +208,8 @@
 /// Whether this instance watches the store because it is among the first to claim if the leader
 /// does not return.
 #[must_use]
-pub fn watches_store(now: Mono, at: &ElectionView<'_>) -> bool {
-    rank(now, at) < WATCHERS
+pub fn watches_store(now: Mono, view: &ElectionView<'_>) -> bool {
+    rank(now, view) < WATCHERS
 }
 
 /// Maximum number of standbys that the leader announces.
@@ -229,32 +229,32 @@
 pub const FIRST_CLAIM_STEPS: u64 = 6;
 
 /// Number of steps that this instance waits for others to claim before it.
-fn rank(now: Mono, at: &ElectionView<'_>) -> u64 {
+fn rank(now: Mono, view: &ElectionView<'_>) -> u64 {
     // It is the restarted leader: it knows that the process named in the row has ended.
-    if at.row.is_some_and(|row| row.instance == *at.me) {
+    if view.row.is_some_and(|row| row.instance == *view.me) {
         return 0;
     }
-    if !at.is_large_fleet {
-        return candidates_before(now, at);
+    if !view.is_large_fleet {
+        return candidates_before(now, view);
     }
-    if let Some(position) = at.standbys.iter().position(|standby| standby == at.me) {
+    if let Some(position) = view.standbys.iter().position(|standby| standby == view.me) {
         return position as u64;
     }
     // Strong machines claim first; all others are spread over the following steps.
-    let strong = at.strength == Strength::FULL;
-    let steps = (at.instances as u64).div_ceil(CLAIMS_PER_STEP);
-    let spread = rank_of(at.me) % if strong { CLAIMS_PER_STEP } else { steps };
+    let strong = view.strength == Strength::FULL;
+    let steps = (view.instances as u64).div_ceil(CLAIMS_PER_STEP);
+    let spread = rank_of(view.me) % if strong { CLAIMS_PER_STEP } else { steps };
     let first = if strong { 0 } else { CLAIMS_PER_STEP };
-    at.standbys.len() as u64 + first + spread
+    view.standbys.len() as u64 + first + spread
 }
 
 /// Number of fit instances with recent reports that claim before this one.
-fn candidates_before(now: Mono, at: &ElectionView<'_>) -> u64 {
-    let before = at.peers.iter().filter(|peer| {
+fn candidates_before(now: Mono, view: &ElectionView<'_>) -> u64 {
+    let before = view.peers.iter().filter(|peer| {
         let heard = now.since(peer.heard) < LEADER_SILENT_MS;
-        let goes_first = match peer.strength.cmp(&at.strength) {
+        let goes_first = match peer.strength.cmp(&view.strength) {
             Ordering::Greater => true,
-            Ordering::Equal => peer.instance < *at.me,
+            Ordering::Equal => peer.instance < *view.me,
             Ordering::Less => false,
         };
         heard && !peer.stopping && !peer.unfit && goes_first
--- a/crates/citronway-core/src/gateway/registry.rs
+++ b/crates/citronway-core/src/gateway/registry.rs
@@ -98,7 +98,7 @@
     /// as ended and its keys would be assigned elsewhere while it still holds them. An ended
     /// process never gets its address back, so the start with the later start time runs; where
     /// no start time is given, the start that was first seen later.
-    const fn age(&self) -> (Option<u64>, Mono) {
+    const fn start_order(&self) -> (Option<u64>, Mono) {
         (self.listing.start.born_ms(), self.first_seen)
     }
 
@@ -181,16 +181,16 @@
     /// Applies a new or changed entry.
     pub fn put(&mut self, now: Mono, listing: Listing) {
         let first = *self.first_seen.entry(listing.start.clone()).or_insert(now);
-        let Some(known) = self.endpoints.get_mut(listing.start.name()) else {
+        let Some(endpoint) = self.endpoints.get_mut(listing.start.name()) else {
             let name = listing.start.name().clone();
             self.insert(name, ListedEndpoint::new(now, first, listing));
             return;
         };
-        if known.listing.start == listing.start {
-            let same_place = known.listing.address == listing.address
-                && known.listing.service == listing.service;
-            known.evacuated = self.evacuated.get(&listing.zone).copied();
-            known.renew(now, listing);
+        if endpoint.listing.start == listing.start {
+            let same_place = endpoint.listing.address == listing.address
+                && endpoint.listing.service == listing.service;
+            endpoint.evacuated = self.evacuated.get(&listing.zone).copied();
+            endpoint.renew(now, listing);
             if !same_place {
                 self.update_shadowed();
             }
@@ -200,8 +200,8 @@
         // entry of its successor. If it counted as newer, the running start would be treated
         // as ended. The clock may also have been set back between the two starts; then the
         // delayed entry is the right one and replaces the other after the delay.
-        if listing.start.born_ms() < known.listing.start.born_ms() {
-            known
+        if listing.start.born_ms() < endpoint.listing.start.born_ms() {
+            endpoint
                 .postponed
                 .get_or_insert((listing, now.plus(BORN_EARLIER_MS)));
             return;
@@ -211,9 +211,9 @@
     }
 
     /// Inserts an endpoint, replacing any other start with its name.
-    fn insert(&mut self, name: EndpointName, mut known: ListedEndpoint) {
-        known.evacuated = self.evacuated.get(&known.listing.zone).copied();
-        self.endpoints.insert(name, known);
+    fn insert(&mut self, name: EndpointName, mut endpoint: ListedEndpoint) {
+        endpoint.evacuated = self.evacuated.get(&endpoint.listing.zone).copied();
+        self.endpoints.insert(name, endpoint);
         self.update_shadowed();
     }
 
@@ -223,11 +223,11 @@
     /// Failure guarded against: the endpoints of a restored zone are cold, but until their
     /// entries say so all instances see them as idle and overload them until they crash.
     pub fn set_evacuated(&mut self, now: Mono, zones: IndexMap<ZoneName, Mono>) {
-        for known in self.endpoints.values_mut() {
-            let before = known.evacuated;
-            known.evacuated = zones.get(&known.listing.zone).copied();
-            if before.is_some() && known.evacuated.is_none() {
-                known.warm_at = known.warm_at.max(now.plus(COLD_AFTER_RESTORE_MS));
+        for endpoint in self.endpoints.values_mut() {
+            let before = endpoint.evacuated;
+            endpoint.evacuated = zones.get(&endpoint.listing.zone).copied();
+            if before.is_some() && endpoint.evacuated.is_none() {
+                endpoint.warm_at = endpoint.warm_at.max(now.plus(COLD_AFTER_RESTORE_MS));
             }
         }
         self.evacuated = zones;
@@ -257,8 +257,8 @@
             self.discard(name);
             return;
         };
-        if let Some(known) = self.endpoints.get_mut(name) {
-            known.missing_until.get_or_insert(end);
+        if let Some(endpoint) = self.endpoints.get_mut(name) {
+            endpoint.missing_until.get_or_insert(end);
         }
     }
 
@@ -301,12 +301,12 @@
         }
         let expired = self.has_expired(now);
         self.endpoints
-            .retain(|_, known| known.missing_until.is_none_or(|end| now < end));
-        for known in self.endpoints.values_mut() {
-            if let Some((listing, _)) = known.postponed.take_if(|(_, at)| *at <= now) {
+            .retain(|_, endpoint| endpoint.missing_until.is_none_or(|end| now < end));
+        for endpoint in self.endpoints.values_mut() {
+            if let Some((listing, _)) = endpoint.postponed.take_if(|(_, at)| *at <= now) {
                 let evacuated = self.evacuated.get(&listing.zone).copied();
-                *known = ListedEndpoint::new(now, now, listing);
-                known.evacuated = evacuated;
+                *endpoint = ListedEndpoint::new(now, now, listing);
+                endpoint.evacuated = evacuated;
             }
         }
         if expired {
@@ -318,8 +318,8 @@
     /// The endpoint of this start; `None` if it is not listed or a later start has its address.
     #[must_use]
     pub fn get(&self, start: &EndpointStart) -> Option<&ListedEndpoint> {
-        let known = self.endpoints.get(start.name())?;
-        (known.listing.start == *start && !known.shadowed).then_some(known)
+        let endpoint = self.endpoints.get(start.name())?;
+        (endpoint.listing.start == *start && !endpoint.shadowed).then_some(endpoint)
     }
 
     /// Names of all entries, including those whose address a later start has taken over.
@@ -330,7 +330,9 @@
 
     /// All listed endpoints except those whose address a later start has taken over.
     pub fn iter(&self) -> impl Iterator<Item = &ListedEndpoint> {
-        self.endpoints.values().filter(|known| !known.shadowed)
+        self.endpoints
+            .values()
+            .filter(|endpoint| !endpoint.shadowed)
     }
 
     /// The endpoints of [`Registry::iter`] that belong to `service`.
@@ -339,7 +341,7 @@
         service: &'a ServiceName,
     ) -> impl Iterator<Item = &'a ListedEndpoint> {
         self.iter()
-            .filter(move |known| known.listing.service == *service)
+            .filter(move |endpoint| endpoint.listing.service == *service)
     }
 
     /// Whether another start has taken over the name or the address of `start`.
@@ -349,7 +351,7 @@
     #[must_use]
     pub fn is_replaced(&self, start: &EndpointStart, address: SocketAddr) -> bool {
         match self.endpoints.get(start.name()) {
-            Some(known) if known.listing.start == *start => known.shadowed,
+            Some(endpoint) if endpoint.listing.start == *start => endpoint.shadowed,
             Some(_) => true,
             None => self.at(address).any(|other| self.is_later(other, start)),
         }
@@ -358,7 +360,7 @@
     /// Whether the listed start `other` is known to have begun after the unlisted `start`.
     fn is_later(&self, other: &ListedEndpoint, start: &EndpointStart) -> bool {
         match self.first_seen.get(start) {
-            Some(first) => other.age() > (start.born_ms(), *first),
+            Some(first) => other.start_order() > (start.born_ms(), *first),
             None => start.born_ms().is_some() && other.listing.start.born_ms() > start.born_ms(),
         }
     }
@@ -370,29 +372,31 @@
     /// such an entry does not shadow the endpoint.
     fn update_shadowed(&mut self) {
         let mut latest = IndexMap::<SocketAddr, (Option<u64>, Mono)>::new();
-        for known in self
+        for endpoint in self
             .endpoints
             .values()
-            .filter(|known| self.is_configured(known))
+            .filter(|endpoint| self.is_configured(endpoint))
         {
-            let age = latest.entry(known.listing.address).or_insert(known.age());
-            *age = known.age().max(*age);
+            let highest = latest
+                .entry(endpoint.listing.address)
+                .or_insert(endpoint.start_order());
+            *highest = endpoint.start_order().max(*highest);
         }
-        for known in self.endpoints.values_mut() {
-            let latest = latest.get(&known.listing.address);
-            known.shadowed = latest.is_some_and(|latest| *latest > known.age());
+        for endpoint in self.endpoints.values_mut() {
+            let latest = latest.get(&endpoint.listing.address);
+            endpoint.shadowed = latest.is_some_and(|latest| *latest > endpoint.start_order());
         }
     }
 
     /// Listed starts of configured services on this address.
     fn at(&self, address: SocketAddr) -> impl Iterator<Item = &ListedEndpoint> {
-        self.endpoints
-            .values()
-            .filter(move |known| known.listing.address == address && self.is_configured(known))
+        self.endpoints.values().filter(move |endpoint| {
+            endpoint.listing.address == address && self.is_configured(endpoint)
+        })
     }
 
-    fn is_configured(&self, known: &ListedEndpoint) -> bool {
+    fn is_configured(&self, endpoint: &ListedEndpoint) -> bool {
         let services = self.services.as_ref();
-        services.is_none_or(|services| services.contains(&known.listing.service))
+        services.is_none_or(|services| services.contains(&endpoint.listing.service))
     }
 }
--- a/crates/citronway-core/tests/gateway_cold.rs
+++ b/crates/citronway-core/tests/gateway_cold.rs
@@ -34,7 +34,7 @@
 fn alone() -> LeaderStanding {
     LeaderStanding {
         confirmed_at: CONFIRMED,
-        rivals: PredecessorLimits::default(),
+        former_leader_limits: PredecessorLimits::default(),
         former_leaders: 0,
     }
 }
@@ -86,7 +86,7 @@
     fn add_concurrent_leader(&mut self, now: Mono, confirmed_at: Mono) {
         let standing = LeaderStanding {
             confirmed_at,
-            rivals: LeaderSettings::default().predecessor_limits(now),
+            former_leader_limits: LeaderSettings::default().predecessor_limits(now),
             former_leaders: u32::try_from(self.leaders.len()).unwrap(),
         };
         self.leaders.push(ColdSendLimiter::for_new_leader(now));
@@ -208,7 +208,7 @@
     let replaced = Mono(50_000);
     let standing = LeaderStanding {
         confirmed_at: CONFIRMED,
-        rivals: cfg.predecessor_limits(replaced),
+        former_leader_limits: cfg.predecessor_limits(replaced),
         former_leaders: 1,
     };
     let share = |ms| cold::granted_share(replaced.plus(ms), &cfg, &standing);
@@ -216,8 +216,8 @@
     expect_that!(share(cfg.connect_limit_ms + 100), some(eq(0.5)));
     expect_that!(share(cfg.predecessor_wait_ms()), some(eq(1.0)));
     let stopped = LeaderStanding {
-        rivals: standing
-            .rivals
+        former_leader_limits: standing
+            .former_leader_limits
             .min(cfg.stopped_predecessor_limits(replaced)),
         ..standing
     };
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -156,7 +156,7 @@
         let row = self.office.as_ref()?;
         let office = LeaderStanding {
             confirmed_at: self.contact,
-            rivals: self.rivals,
+            former_leader_limits: self.rivals,
             former_leaders: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
         };
         cold::granted_share(now, &self.cfg, &office)
