--- a/crates/citronway-core/tests/gateway_registry.rs
+++ b/crates/citronway-core/tests/gateway_registry.rs
@@ -246,7 +246,8 @@
 }
 
 /// Another writer lists an entry with the address of a running endpoint for a service that is not
-/// configured. The endpoint remains in use until the service is configured.
+/// configured. The endpoint remains in use until its own entry is gone or the service is
+/// configured.
 #[gtest]
 fn an_entry_of_an_unknown_service_takes_no_address() {
     let mut registry = two();
