--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -156,8 +156,8 @@
         let row = self.office.as_ref()?;
         let office = LeaderStanding {
             confirmed_at: self.contact,
-            rivals: self.rivals,
-            earlier_leaders: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
+            former_leader_limits: self.rivals,
+            former_leaders: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
         };
         cold::granted_share(now, &self.cfg, &office)
     }
