--- a/crates/citronway/src/gateway/control/cluster/copies.rs
+++ b/crates/citronway/src/gateway/control/cluster/copies.rs
@@ -13,7 +13,7 @@
     ///
     /// Failure: the store forgets its history, the leader reads a table anew and passes
     /// nothing on, and all instances read it too.
-    pub(in super::super) fn changes_by(
+    pub(in super::super) fn changes_from_list(
         &self,
         table: Table,
         rows: &[Row],
@@ -46,7 +46,7 @@
     }
 
     /// Whether a table was read or copied at least once.
-    pub(in super::super) const fn has_read(&self, table: Table) -> bool {
+    pub(in super::super) const fn has_loaded(&self, table: Table) -> bool {
         match table {
             Table::Config => self.config.loaded,
             Table::Endpoints => self.endpoints.loaded,
@@ -56,45 +56,49 @@
 
     /// Whether a table cannot be had from the store at present.
     pub(in super::super) fn needs_copy(&mut self, table: Table) -> bool {
-        let sight = self.sight(table);
-        sight.lost || !sight.loaded
+        let state = self.table_state(table);
+        state.lost || !state.loaded
     }
 
     /// Takes a table as another instance has it, since the store cannot be asked.
     ///
     /// The store stays lost until it answers this instance itself: what it says then goes
     /// before the copy, which is only as new as its giver was.
-    pub(in super::super) fn copied(&mut self, now: Mono, copy: &Relay) {
-        let (table, rows) = (copy.table.as_str(), copy.rows.len());
+    pub(in super::super) fn apply_copy(&mut self, now: Mono, copy: &Relay) {
+        let (table, rows) = (copy.table.word(), copy.rows.len());
         log::info!(table, rows, position = copy.position.0; "table copied from another instance");
         let whole = match copy.table {
             // What is not among all of them is gone.
             Table::Config | Table::Endpoints if copy.after == Version(0) => Some(copy.position),
             Table::Config | Table::Endpoints | Table::Own => None,
         };
-        self.take_rows(now, copy.table, &copy.rows, whole);
-        self.sight(copy.table).has_taken(copy.position);
+        self.apply_rows(now, copy.table, &copy.rows, whole);
+        self.table_state(copy.table).advance_position(copy.position);
     }
 
     /// Whether rows of a table that are missed are to come from the store this time: another
     /// instance was asked a moment ago, and they still are.
-    pub(in super::super) fn brings_by_store(&mut self, now: Mono, table: Table) -> bool {
-        let sight = self.sight(table);
-        let asked = sight.missed_at.replace(now);
-        let again = asked.is_some_and(|at| now.since(at) < 2 * BEHIND_MS);
-        if again {
-            sight.missed_at = None;
+    pub(in super::super) fn should_read_missed_from_store(
+        &mut self,
+        now: Mono,
+        table: Table,
+    ) -> bool {
+        let state = self.table_state(table);
+        let requested_at = state.missed_requested_at.replace(now);
+        let is_recent = requested_at.is_some_and(|at| now.since(at) < 2 * BEHIND_MS);
+        if is_recent {
+            state.missed_requested_at = None;
         }
-        again
+        is_recent
     }
 
     /// The rows of a table after a version as this instance knows them, if it has read it.
-    pub(in super::super) fn copy(&mut self, table: Table, after: Version) -> Option<Relay> {
-        let sight = self.sight(table);
-        if !sight.loaded {
+    pub(in super::super) fn copy_since(&mut self, table: Table, after: Version) -> Option<Relay> {
+        let state = self.table_state(table);
+        if !state.loaded {
             return None;
         }
-        let position = Version(sight.position);
+        let position = Version(state.position);
         let kept = self.kept.rows(table);
         let mut rows: Vec<_> = kept
             .filter(|row| !own_rows::is_assignment(&row.key) && row.version > after)
--- a/crates/citronway/src/gateway/control/cluster/evacuations.rs
+++ b/crates/citronway/src/gateway/control/cluster/evacuations.rs
@@ -14,10 +14,10 @@
 impl Cluster {
     /// Takes rows of the operator's table; `learnt` is when an evacuation among them was, if it
     /// began after the table was first read, `whole` the version of the store if these are all.
-    pub(super) fn evacuation_rows(
+    pub(super) fn apply_evacuation_rows(
         &mut self,
         now: Mono,
-        learnt: Option<Mono>,
+        learned_at: Option<Mono>,
         rows: &[Row],
         whole: Option<Version>,
     ) {
@@ -28,7 +28,7 @@
         let zones: Vec<_> = zones.collect();
         let mut changes = Vec::new();
         for (zone, row) in &zones {
-            let Some(state) = self.evacuation(zone, row, learnt) else {
+            let Some(state) = self.evacuation_state(zone, row, learned_at) else {
                 continue;
             };
             changes.extend(self.evacuations.apply_row(zone, row.version, state));
@@ -41,7 +41,7 @@
             return;
         }
         for change in &changes {
-            self.log_zone(change);
+            self.log_zone_change(change);
         }
         let zones = self.evacuations.evacuated().map(|(zone, since)| {
             let until = evacuation::owned_work_until(since, self.evacuation_ms);
@@ -52,27 +52,27 @@
     }
 
     /// What a row says of a zone; none if it cannot be read, and what is known holds on.
-    fn evacuation(
+    fn evacuation_state(
         &mut self,
         zone: &ZoneName,
         row: &Row,
-        learnt: Option<Mono>,
+        learned_at: Option<Mono>,
     ) -> Option<ZoneState> {
         let Some(value) = &row.value else {
-            self.unusable.settled(Source::Configuration, &row.key);
-            return Some(ZoneState::Restored);
+            self.unusable.clear(Source::Configuration, &row.key);
+            return Some(ZoneState::TakenBack);
         };
         if let Err(e) = store::check_evacuation(zone, value) {
             self.unusable
-                .refused(Source::Configuration, &row.key, e.to_string());
+                .record_row(Source::Configuration, &row.key, e.to_string());
             return None;
         }
-        self.unusable.settled(Source::Configuration, &row.key);
-        Some(ZoneState::Evacuated { since: learnt })
+        self.unusable.clear(Source::Configuration, &row.key);
+        Some(ZoneState::Evacuated { since: learned_at })
     }
 
     /// Evacuated zones, and ranges of keys whose owners are there.
-    pub(in super::super) fn left_in_evacuated_zones(&self) -> (usize, usize) {
+    pub(in super::super) fn count_evacuated(&self) -> (usize, usize) {
         let zones = self.evacuations.evacuated().count();
         if zones == 0 {
             return (0, 0);
@@ -86,7 +86,7 @@
         (zones, left.count())
     }
 
-    fn log_zone(&self, change: &ZoneChange) {
+    fn log_zone_change(&self, change: &ZoneChange) {
         let ZoneChange {
             zone,
             state,
--- a/crates/citronway/src/gateway/control/cluster/load.rs
+++ b/crates/citronway/src/gateway/control/cluster/load.rs
@@ -13,19 +13,19 @@
 use super::Cluster;
 
 /// Most endpoints of which sums are told at once: 16 KB. Of the others, fewer requests wait.
-const MAX_TOLD: usize = 2_000;
+const MAX_TOTALS: usize = 2_000;
 
 impl Cluster {
     /// Takes what an instance, this one too, reports of endpoints' answers.
-    pub(in super::super) fn traffic_seen(&mut self, now: Mono, report: &Report) {
-        self.heard_at = now;
+    pub(in super::super) fn record_traffic(&mut self, now: Mono, report: &Report) {
+        self.last_heard_at = now;
         for used in &report.endpoints {
             self.paces.add(now, used.tag, &used.answers);
         }
     }
 
     /// Takes what this instance itself has in flight and waiting.
-    pub(in super::super) fn own_traffic(&mut self, report: &Report) {
+    pub(in super::super) fn set_own_use(&mut self, report: &Report) {
         let used = report.endpoints.iter().map(|used| (used.tag, *used));
         self.own_use = used.collect();
     }
@@ -52,29 +52,29 @@
         };
         let mut contended: Vec<_> = sums.into_values().filter(is_contended).collect();
         contended.sort_unstable_by_key(|sum| Reverse((sum.waiting, sum.in_flight)));
-        contended.truncate(MAX_TOLD);
+        contended.truncate(MAX_TOTALS);
         contended
     }
 
     /// Takes the sums that the leader tells.
-    pub(in super::super) fn totals_told(&mut self, now: Mono, totals: Totals) {
-        self.heard_at = now;
-        self.store_of_leader(now, &totals);
+    pub(in super::super) fn apply_totals(&mut self, now: Mono, totals: Totals) {
+        self.last_heard_at = now;
+        self.update_leader_store(now, &totals);
         if let Some(row) = &totals.row {
             let known = self.leader.as_ref().map(|leader| leader.version);
             if known.is_none_or(|known| known < row.version) {
                 let row = std::slice::from_ref(row);
                 self.kept.keep(Table::Own, row);
-                self.own_rows(now, row);
+                self.apply_own_rows(now, row);
                 self.changed = true;
             }
         }
-        self.peers.leader_heard(now, &totals);
-        self.crashes.told(now, &totals);
+        self.peers.record_leader(now, &totals);
+        self.crashes.apply_totals(now, &totals);
         for pace in &totals.paces {
             self.paces.set_leader_estimate(now, *pace);
         }
-        self.peers.totals(now, totals);
+        self.peers.set_totals(now, totals);
     }
 
     /// Notes whether the store answers the leader, by whose rows this instance goes while it
@@ -83,7 +83,7 @@
     /// Failure: the store is away, entries of living endpoints lapse, and the leader tells of
     /// it when the store is back. An instance that did not ask meanwhile would drop them all
     /// at once.
-    fn store_of_leader(&mut self, now: Mono, totals: &Totals) {
+    fn update_leader_store(&mut self, now: Mono, totals: &Totals) {
         let before = self.leader_store.replace((totals.term, totals.store_lost));
         if self.endpoints.lost {
             return;
@@ -103,7 +103,7 @@
     }
 
     /// The row that names the leader, as it stands in the store.
-    pub(in super::super) fn leader_row_kept(&self) -> Option<Row> {
+    pub(in super::super) fn kept_leader_row(&self) -> Option<Row> {
         let mut kept = self.kept.rows(Table::Own);
         kept.find(|row| row.key == own_rows::LEADER_KEY).cloned()
     }
--- a/crates/citronway/src/gateway/control/cluster/mod.rs
+++ b/crates/citronway/src/gateway/control/cluster/mod.rs
@@ -26,7 +26,7 @@
 use super::kept_rows::KeptRows;
 use super::own_rows;
 use super::peers::{InstanceRow, Peers};
-use super::store::News;
+use super::store::TableUpdate;
 use super::unusable::{Source, Unusable};
 
 /// For how long others may have newer rows before a poll is taken for dead, in
@@ -43,7 +43,7 @@
 
 /// What an answer, or none, says of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum StoreSight {
+pub(super) enum StoreStatus {
     /// It answers as before.
     Steady,
     /// It does not answer or refuses.
@@ -54,7 +54,7 @@
 
 /// A table as far as it is followed.
 #[derive(Debug, Default)]
-pub(super) struct Sight {
+pub(super) struct TableState {
     /// Newest version of a row that was seen.
     newest: u64,
     /// Position in the table's history up to which all rows were taken.
@@ -64,7 +64,7 @@
     /// Since when others have seen newer rows.
     behind_since: Option<Mono>,
     /// When another instance was asked for rows that were lost on the way.
-    missed_at: Option<Mono>,
+    missed_requested_at: Option<Mono>,
     /// It was read at least once.
     loaded: bool,
 }
@@ -85,10 +85,10 @@
     pub evacuations: Evacuations,
     /// Time for an evacuation, in milliseconds.
     evacuation_ms: u64,
-    config: Sight,
-    endpoints: Sight,
+    config: TableState,
+    endpoints: TableState,
     outage: Outage,
-    pub(super) own: Sight,
+    pub(super) own: TableState,
     /// Last reading of the store's clock, and when it came.
     store_clock: Option<(u64, Mono)>,
     /// Term of the leader that was heard last, and whether the store did not answer it.
@@ -99,21 +99,21 @@
     pub(super) entries: IndexMap<String, Version>,
     /// Where this instance and the store listen.
     pub(super) own_addresses: [SocketAddr; 5],
-    heard_at: Mono,
+    last_heard_at: Mono,
     pub(super) unusable: Unusable,
     kept: KeptRows,
     pub(super) changed: bool,
 }
 
-impl Sight {
+impl TableState {
     /// Notes a row of this version.
-    pub(super) fn has_seen(&mut self, version: u64) {
+    pub(super) fn observe_version(&mut self, version: u64) {
         self.newest = self.newest.max(version);
         self.behind_since = None;
     }
 
     /// Notes that all rows up to a position were taken.
-    fn has_taken(&mut self, position: Version) {
+    fn advance_position(&mut self, position: Version) {
         self.position = self.position.max(position.0);
     }
 }
@@ -133,23 +133,23 @@
             crashes: Crashes::new(rank_of(&cfg.instance)),
             evacuations: Evacuations::default(),
             evacuation_ms: cfg.evacuation_ms,
-            config: Sight::default(),
-            endpoints: Sight::default(),
+            config: TableState::default(),
+            endpoints: TableState::default(),
             outage: Outage::default(),
-            own: Sight::default(),
+            own: TableState::default(),
             store_clock: None,
             leader_store: None,
             own_use: IndexMap::new(),
             entries: IndexMap::new(),
             own_addresses: [cfg.callers, cfg.ready, cfg.reports, cfg.metrics, cfg.store],
-            heard_at: Mono::default(),
+            last_heard_at: Mono::default(),
             unusable: Unusable::default(),
             kept: KeptRows::default(),
             changed: false,
         }
     }
 
-    fn sight(&mut self, table: Table) -> &mut Sight {
+    fn table_state(&mut self, table: Table) -> &mut TableState {
         match table {
             Table::Config => &mut self.config,
             Table::Endpoints => &mut self.endpoints,
@@ -158,9 +158,14 @@
     }
 
     /// Takes news of a table; tells what they say of the store.
-    pub(super) fn news(&mut self, now: Mono, table: Table, news: News) -> StoreSight {
-        let (rows, whole, position) = match news {
-            News::Loaded {
+    pub(super) fn apply_update(
+        &mut self,
+        now: Mono,
+        table: Table,
+        update: TableUpdate,
+    ) -> StoreStatus {
+        let (rows, whole, position) = match update {
+            TableUpdate::Loaded {
                 rows,
                 version,
                 now_ms,
@@ -168,20 +173,20 @@
                 self.store_clock = Some((now_ms, now));
                 (rows, Some(version), version)
             }
-            News::Changed { relay, now_ms } => {
+            TableUpdate::Changed { relay, now_ms } => {
                 self.store_clock = Some((now_ms, now));
                 (relay.rows, None, relay.position)
             }
-            News::Lost(cause) => {
-                self.lost(table, &cause);
-                return StoreSight::Lost;
+            TableUpdate::Lost(cause) => {
+                self.mark_lost(table, &cause);
+                return StoreStatus::Lost;
             }
         };
-        self.heard_at = now;
-        let sight = self.regained(now, table);
-        self.take_rows(now, table, &rows, whole);
-        self.sight(table).has_taken(position);
-        sight
+        self.last_heard_at = now;
+        let status = self.mark_regained(now, table);
+        self.apply_rows(now, table, &rows, whole);
+        self.table_state(table).advance_position(position);
+        status
     }
 
     /// Whether the last call for a table failed.
@@ -194,14 +199,15 @@
     }
 
     /// Takes rows that the leader passed on.
-    pub(super) fn relayed(&mut self, now: Mono, relay: &Relay) {
-        self.heard_at = now;
-        self.regained(now, relay.table);
-        self.take_rows(now, relay.table, &relay.rows, None);
+    pub(super) fn apply_relay(&mut self, now: Mono, relay: &Relay) {
+        self.last_heard_at = now;
+        self.mark_regained(now, relay.table);
+        self.apply_rows(now, relay.table, &relay.rows, None);
         for patch in &relay.patches {
-            self.patched(patch);
+            self.apply_patch(patch);
         }
-        self.sight(relay.table).has_taken(relay.position);
+        self.table_state(relay.table)
+            .advance_position(relay.position);
     }
 
     /// Order of this instance among all.
@@ -216,51 +222,51 @@
     }
 
     /// Takes rows of a table; `whole` is the version of the store if these are all.
-    fn take_rows(&mut self, now: Mono, table: Table, rows: &[Row], whole: Option<Version>) {
+    fn apply_rows(&mut self, now: Mono, table: Table, rows: &[Row], whole: Option<Version>) {
         if rows.is_empty() && whole.is_none() {
             return;
         }
         // Rows of instances are not passed on in large fleets, and nobody misses them; the
         // leader's is told apart from the rest.
-        let told = rows.iter().filter(|row| own_rows::is_chained(&row.key));
-        let newest = told.map(|row| row.version.0).max().unwrap_or_default();
-        let sight = self.sight(table);
-        sight.has_seen(newest);
-        let is_first = !std::mem::replace(&mut sight.loaded, true);
+        let sequenced = rows.iter().filter(|row| own_rows::is_sequenced(&row.key));
+        let newest = sequenced.map(|row| row.version.0).max().unwrap_or_default();
+        let state = self.table_state(table);
+        state.observe_version(newest);
+        let is_first = !std::mem::replace(&mut state.loaded, true);
         match whole {
             Some(version) => self.kept.replace(table, rows, version),
             None => self.kept.keep(table, rows),
         }
         match table {
             Table::Config => {
-                self.config_rows(rows);
-                let learnt = (!is_first).then_some(now);
-                self.evacuation_rows(now, learnt, rows, whole);
+                self.apply_config_rows(rows);
+                let learned_at = (!is_first).then_some(now);
+                self.apply_evacuation_rows(now, learned_at, rows, whole);
             }
-            Table::Endpoints => self.endpoint_rows(now, rows, whole),
-            Table::Own => self.own_rows(now, rows),
+            Table::Endpoints => self.apply_endpoint_rows(now, rows, whole),
+            Table::Own => self.apply_own_rows(now, rows),
         }
         self.changed = true;
     }
 
-    fn lost(&mut self, table: Table, cause: &str) {
-        let sight = self.sight(table);
-        if sight.lost {
+    fn mark_lost(&mut self, table: Table, cause: &str) {
+        let state = self.table_state(table);
+        if state.lost {
             return;
         }
-        sight.lost = true;
-        log::warn!(table = table.as_str(), cause; "store lost");
+        state.lost = true;
+        log::warn!(table = table.word(), cause; "store lost");
         if table == Table::Endpoints {
             Arc::make_mut(&mut self.registry).store_lost();
         }
     }
 
-    fn regained(&mut self, now: Mono, table: Table) -> StoreSight {
-        let sight = self.sight(table);
-        if !sight.lost {
-            return StoreSight::Steady;
+    fn mark_regained(&mut self, now: Mono, table: Table) -> StoreStatus {
+        let state = self.table_state(table);
+        if !state.lost {
+            return StoreStatus::Steady;
         }
-        sight.lost = false;
+        state.lost = false;
         // Failure: this instance alone was cut off, and takes the entry of an endpoint
         // that has left meanwhile for one that lapsed with the store. Others that saw
         // newer rows show that the store went on.
@@ -274,10 +280,10 @@
                 registry.store_regained(now);
             }
         }
-        StoreSight::Regained
+        StoreStatus::Regained
     }
 
-    fn config_rows(&mut self, rows: &[Row]) {
+    fn apply_config_rows(&mut self, rows: &[Row]) {
         for row in rows {
             let Some(value) = row.value.as_deref().filter(|_| row.key == CONFIG_KEY) else {
                 continue;
@@ -296,7 +302,7 @@
                 continue;
             }
             log::info!(version = routes.version.0, row = row.version.0; "configuration in force");
-            self.unusable.found_in_configuration(&findings);
+            self.unusable.record_findings(&findings);
             let services = routes.services.keys().cloned().collect();
             Arc::make_mut(&mut self.registry).set_services(services);
             self.routes = Some(Arc::new(routes));
@@ -335,12 +341,12 @@
     /// Whether callers are served better here than nowhere.
     pub(super) fn is_ready(&self, now: Mono) -> bool {
         let store_lost = self.config.lost && self.endpoints.lost && self.own.lost;
-        let cut_off = store_lost && self.peers.heard(now) == 0;
+        let cut_off = store_lost && self.peers.heard_count(now) == 0;
         let known = self
             .sharded()
             .iter()
             .all(|service| self.owners.contains_key(service));
-        self.routes.is_some() && known && !(cut_off && now.since(self.heard_at) > CUT_OFF_MS)
+        self.routes.is_some() && known && !(cut_off && now.since(self.last_heard_at) > CUT_OFF_MS)
     }
 
     /// Whether the store refuses or does not answer this instance.
@@ -349,10 +355,10 @@
     }
 
     /// Whether a fit leader is heard, which passes rows on.
-    pub(super) fn is_told(&self, now: Mono) -> bool {
+    pub(super) fn has_relaying_leader(&self, now: Mono) -> bool {
         self.leader
             .as_ref()
-            .is_some_and(|row| self.peers.passes_rows(now, row))
+            .is_some_and(|row| self.peers.leader_relays_rows(now, row))
     }
 
     /// Ranges of all services.
@@ -367,7 +373,7 @@
     }
 
     /// Whether the store lists this instance at its address already.
-    pub(super) fn lists(&self, row: &InstanceRow) -> bool {
+    pub(super) fn is_listed_as(&self, row: &InstanceRow) -> bool {
         let key = own_rows::instance_key(&row.session.instance);
         let mut kept = self.kept.rows(Table::Own);
         let value = kept
@@ -382,7 +388,7 @@
         self.own.loaded
     }
 
-    pub(super) const fn seen(&self) -> Versions {
+    pub(super) const fn seen_versions(&self) -> Versions {
         Versions {
             config: self.config.newest,
             endpoints: self.endpoints.newest,
@@ -412,19 +418,19 @@
         ];
         let mut stale = Vec::new();
         for (table, others) in tables {
-            let sight = self.sight(table);
-            if others <= sight.newest {
-                sight.behind_since = None;
+            let state = self.table_state(table);
+            if others <= state.newest {
+                state.behind_since = None;
                 continue;
             }
-            let since = *sight.behind_since.get_or_insert(now);
-            let patience = if sight.loaded {
+            let since = *state.behind_since.get_or_insert(now);
+            let limit_ms = if state.loaded {
                 BEHIND_MS
             } else {
                 NEVER_READ_MS
             };
-            if now.since(since) >= patience {
-                sight.behind_since = None;
+            if now.since(since) >= limit_ms {
+                state.behind_since = None;
                 stale.push(table);
             }
         }
@@ -439,7 +445,7 @@
             reported_loads: self.peers.standings(now, &self.paces, &self.own_use),
             zone: self.zone.clone(),
             rank: self.rank,
-            instances: u32::try_from(self.peers.instances(now)).unwrap_or(u32::MAX),
+            instances: u32::try_from(self.peers.instance_count(now)).unwrap_or(u32::MAX),
             crashes: self.crashes.known(),
         }
     }
--- a/crates/citronway/src/gateway/control/cold.rs
+++ b/crates/citronway/src/gateway/control/cold.rs
@@ -16,25 +16,25 @@
 
 /// Time after which an answer of the leader is of no use, in milliseconds: longer than the
 /// traffic waits for it.
-const FORGOTTEN_MS: u64 = 500;
+const REPLY_TIMEOUT_MS: u64 = 500;
 
 #[derive(Debug)]
-struct Asked {
+struct PendingRequest {
     reply: oneshot::Sender<ColdGrant>,
     at: Mono,
 }
 
 /// What this instance knows of sends to cold endpoints.
 #[derive(Debug, Default)]
-pub(super) struct ColdDuty {
+pub(super) struct ColdSendState {
     /// Those of all instances, while this one leads.
     granted: ColdSendLimiter,
     /// Term in which it granted them.
     term: u64,
-    asked: IndexMap<u64, Asked>,
+    pending: IndexMap<u64, PendingRequest>,
 }
 
-impl ColdDuty {
+impl ColdSendState {
     /// Sends that this instance grants as the leader of a term.
     fn granted_in(&mut self, now: Mono, term: u64) -> &mut ColdSendLimiter {
         if self.term != term {
@@ -47,54 +47,56 @@
 
 impl Control {
     /// Takes what the traffic asks about a cold endpoint.
-    pub(super) fn cold_asked(&mut self, socket: &UdpSocket, ask: ColdQuery) {
+    pub(super) fn on_cold_ask(&mut self, socket: &UdpSocket, ask: ColdAsk) {
         let now = clock::mono();
-        if self.duty.in_office() {
-            let term = self.duty.term();
-            let part = self.duty.cold_part(now);
+        if self.leadership.is_leader() {
+            let term = self.leadership.term();
+            let part = self.leadership.cold_part(now);
             let granted = self.cold.granted_in(now, term);
             let grant = granted.request_with_share(now, &ask.req, part);
             // Its caller may have left.
             let _ = ask.reply.send(grant);
             return;
         }
-        let Some(leader) = self.answering_leader(now) else {
+        let Some(leader) = self.reachable_leader(now) else {
             // Dropped without an answer: the endpoint gets nothing.
             return;
         };
         self.cold
-            .asked
-            .retain(|_, asked| now.since(asked.at) < FORGOTTEN_MS);
+            .pending
+            .retain(|_, pending| now.since(pending.at) < REPLY_TIMEOUT_MS);
         let asked = ColdAsked {
             session: self.me.id,
             number: ask.number,
             req: ask.req,
         };
-        self.send_cold(socket, &Datagram::ColdRequest(asked), leader);
+        self.send_cold_message(socket, &Datagram::ColdRequest(asked), leader);
         let reply = ask.reply;
-        self.cold.asked.insert(ask.number, Asked { reply, at: now });
+        self.cold
+            .pending
+            .insert(ask.number, PendingRequest { reply, at: now });
     }
 
     /// As the leader, counts from the first moment in office what its predecessor granted.
     pub(super) fn step_cold(&mut self, now: Mono) {
-        if self.duty.in_office() {
-            self.cold.granted_in(now, self.duty.term());
+        if self.leadership.is_leader() {
+            self.cold.granted_in(now, self.leadership.term());
         }
     }
 
     /// Takes a request of another instance.
-    pub(super) fn cold_requested(
+    pub(super) fn on_cold_request(
         &mut self,
         socket: &UdpSocket,
         asked: &ColdAsked,
         from: SocketAddr,
     ) {
-        if !self.duty.in_office() {
+        if !self.leadership.is_leader() {
             return;
         }
         let now = clock::mono();
-        let term = self.duty.term();
-        let part = self.duty.cold_part(now);
+        let term = self.leadership.term();
+        let part = self.leadership.cold_part(now);
         let granted = self.cold.granted_in(now, term);
         let grant = granted.request_with_share(now, &asked.req, part);
         let reply = ColdReply {
@@ -102,22 +104,22 @@
             number: asked.number,
             grant,
         };
-        self.send_cold(socket, &Datagram::ColdReply(reply), from);
+        self.send_cold_message(socket, &Datagram::ColdReply(reply), from);
     }
 
     /// Takes the answer of the leader.
-    pub(super) fn cold_replied(&mut self, reply: &ColdReply) {
+    pub(super) fn on_cold_reply(&mut self, reply: &ColdReply) {
         if reply.session != self.me.id {
             return;
         }
-        let Some(asked) = self.cold.asked.swap_remove(&reply.number) else {
+        let Some(pending) = self.cold.pending.swap_remove(&reply.number) else {
             return;
         };
         // Its caller may have left.
-        let _ = asked.reply.send(reply.grant);
+        let _ = pending.reply.send(reply.grant);
     }
 
-    fn send_cold(&self, socket: &UdpSocket, message: &Datagram, to: SocketAddr) {
+    fn send_cold_message(&self, socket: &UdpSocket, message: &Datagram, to: SocketAddr) {
         self.send(socket, &datagram::encode(message), to);
     }
 }
--- a/crates/citronway/src/gateway/control/copies.rs
+++ b/crates/citronway/src/gateway/control/copies.rs
@@ -26,16 +26,16 @@
 
 /// Longest time for a copy to come: a configuration of 400 KB takes 0.4 s over a link of
 /// 10 Mbit/s, and some ask at the same time.
-const COPY_LIMIT: Duration = Duration::from_secs(3);
+const COPY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Largest copy that is read, in bytes; a configuration of 10,000 routes has 2 MB.
-const MAX_COPY: u64 = 8 * 1024 * 1024;
+const MAX_COPY_BYTES: u64 = 8 * 1024 * 1024;
 
 /// Copies that one instance gives at the same time; whoever finds no place asks again.
-const AT_ONCE: usize = 8;
+const MAX_CONCURRENT_COPIES: usize = 8;
 
 /// Added to the code of a table: only rows after a version are wanted.
-const SINCE: u8 = 0x10;
+const SINCE_FLAG: u8 = 0x10;
 
 /// Why no copy came.
 #[derive(Debug, thiserror::Error)]
@@ -51,7 +51,7 @@
     Unreadable(#[from] ReportError),
     /// What came is no copy of the table.
     #[error("the answer is no copy of the table")]
-    Other,
+    WrongContent,
 }
 
 impl Control {
@@ -61,7 +61,7 @@
     /// it and goes on by old owners: one request in ten came to an endpoint that no longer
     /// held its key, and one in twenty was refused when no second send was left. One that
     /// starts meanwhile knows no routes and refuses everybody.
-    pub(super) fn ask_for_copy(&mut self, now: Mono, table: Table, events: &mpsc::Sender<Event>) {
+    pub(super) fn request_copy(&mut self, now: Mono, table: Table, events: &mpsc::Sender<Event>) {
         // Hundreds that lack the same rows do not ask the leader, nor the store.
         let address = match self.place.role(now) {
             Role::Member(_) if self.place.is_new(now) => return,
@@ -69,21 +69,21 @@
             Role::Alone => self.cluster.peers.with_newest(now, table, &self.cfg.zone),
         };
         let Some(address) = address else { return };
-        if self.copying.contains(&table) {
+        if self.pending_copies.contains(&table) {
             return;
         }
-        self.copying.push(table);
-        let lacks_leader = table == Table::Own && self.cluster.lacks_leader(self.duty.term());
+        self.pending_copies.push(table);
+        let lacks_leader = table == Table::Own && self.cluster.lacks_leader(self.leadership.term());
         let after = if lacks_leader {
             Version(0)
         } else {
-            Version(self.cluster.seen().of(table))
+            Version(self.cluster.seen_versions().of(table))
         };
         let events = events.clone();
         tokio::spawn(async move {
-            let copy = ask(address, table, after).await;
+            let copy = fetch(address, table, after).await;
             // Nobody is left to be told when the process ends.
-            let _ = events.send(Event::Copied { table, copy }).await;
+            let _ = events.send(Event::CopyDone { table, copy }).await;
         });
     }
 
@@ -91,21 +91,21 @@
     ///
     /// Load: a relay is lost on its way to a delegate, and each of its 17 members asked the
     /// store; after a lost history all of 295 read three tables anew, 2,100 calls.
-    pub(super) fn bring_missed(&mut self, now: Mono, table: Table, events: &mpsc::Sender<Event>) {
-        if self.copying.contains(&table) {
+    pub(super) fn fetch_missed(&mut self, now: Mono, table: Table, events: &mpsc::Sender<Event>) {
+        if self.pending_copies.contains(&table) {
             return;
         }
-        let by_store = self.cluster.brings_by_store(now, table);
+        let by_store = self.cluster.should_read_missed_from_store(now, table);
         if by_store || matches!(self.place.role(now), Role::Alone) {
-            self.follow(table).refresh.notify_one();
+            self.poll_control(table).refresh.notify_one();
         } else {
-            self.ask_for_copy(now, table, events);
+            self.request_copy(now, table, events);
         }
     }
 
     /// Takes a copy that came, or why none did.
-    pub(super) fn copied(&mut self, now: Mono, table: Table, copy: Result<Relay, CopyError>) {
-        self.copying.retain(|copying| *copying != table);
+    pub(super) fn copy_done(&mut self, now: Mono, table: Table, copy: Result<Relay, CopyError>) {
+        self.pending_copies.retain(|pending| *pending != table);
         let copy = match copy {
             Ok(copy) => copy,
             Err(e) => {
@@ -115,25 +115,25 @@
         };
         // The store, or a relay, has brought newer rows meanwhile. Own rows are taken one by
         // one, each if it is newer.
-        if table != Table::Own && copy.after.0 < self.cluster.seen().of(table) {
+        if table != Table::Own && copy.after.0 < self.cluster.seen_versions().of(table) {
             return;
         }
-        self.cluster.copied(now, &copy);
-        let position = &self.follow(table).position;
+        self.cluster.apply_copy(now, &copy);
+        let position = &self.poll_control(table).position;
         position.fetch_max(copy.position.0, Ordering::Relaxed);
         if table == Table::Own {
-            self.duty.rows_relayed(&self.cluster);
+            self.leadership.take_relayed_rows(&self.cluster);
         }
     }
 
     /// Gives another instance a copy, if this one has read the table.
-    pub(super) fn give_copy(
+    pub(super) fn send_copy(
         &mut self,
         table: Table,
         after: Version,
         reply: oneshot::Sender<Vec<u8>>,
     ) {
-        let Some(copy) = self.cluster.copy(table, after) else {
+        let Some(copy) = self.cluster.copy_since(table, after) else {
             return;
         };
         // Whoever asked may have left.
@@ -143,7 +143,7 @@
 
 /// Gives copies until the task is dropped.
 pub(super) async fn serve(listener: TcpListener, events: mpsc::Sender<Event>) {
-    let places = Arc::new(Semaphore::new(AT_ONCE));
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_COPIES));
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -153,37 +153,37 @@
                 continue;
             }
         };
-        let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
             continue;
         };
         let events = events.clone();
         tokio::spawn(async move {
-            match timeout(COPY_LIMIT, give(stream, events)).await {
+            match timeout(COPY_TIMEOUT, serve_copy(stream, events)).await {
                 Ok(Ok(())) => {}
                 Ok(Err(e)) => log::debug!(cause = e.to_string(); "a copy was not given"),
                 Err(_elapsed) => log::debug!("a copy was not taken in time"),
             }
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-async fn give(mut stream: TcpStream, events: mpsc::Sender<Event>) -> Result<(), CopyError> {
+async fn serve_copy(mut stream: TcpStream, events: mpsc::Sender<Event>) -> Result<(), CopyError> {
     let code = stream.read_u8().await?;
-    let after = if code & SINCE == 0 {
+    let after = if code & SINCE_FLAG == 0 {
         Version(0)
     } else {
         Version(stream.read_u64().await?)
     };
-    let table = datagram::table_of(code & !SINCE)?;
+    let table = datagram::table_of(code & !SINCE_FLAG)?;
     let (reply, copied) = oneshot::channel();
-    let asked = Event::CopyAsked {
+    let requested = Event::CopyRequested {
         table,
         after,
         reply,
     };
     // Without an answer the process ends, or has nothing to give.
-    if events.send(asked).await.is_err() {
+    if events.send(requested).await.is_err() {
         return Ok(());
     }
     let Ok(copy) = copied.await else {
@@ -195,28 +195,34 @@
 }
 
 /// Asks another instance for the rows of a table after a version.
-pub(super) async fn ask(
+pub(super) async fn fetch(
     address: SocketAddr,
     table: Table,
     after: Version,
 ) -> Result<Relay, CopyError> {
-    timeout(COPY_LIMIT, read(address, table, after)).await?
+    timeout(COPY_TIMEOUT, fetch_untimed(address, table, after)).await?
 }
 
-async fn read(address: SocketAddr, table: Table, after: Version) -> Result<Relay, CopyError> {
+async fn fetch_untimed(
+    address: SocketAddr,
+    table: Table,
+    after: Version,
+) -> Result<Relay, CopyError> {
     let mut stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     if after == Version(0) {
         stream.write_u8(datagram::code_of(table)).await?;
     } else {
-        stream.write_u8(datagram::code_of(table) | SINCE).await?;
+        stream
+            .write_u8(datagram::code_of(table) | SINCE_FLAG)
+            .await?;
         stream.write_u64(after.0).await?;
     }
     let mut bytes = Vec::new();
-    stream.take(MAX_COPY).read_to_end(&mut bytes).await?;
+    stream.take(MAX_COPY_BYTES).read_to_end(&mut bytes).await?;
     match datagram::decode(&bytes)? {
         Datagram::Relay(copy) if copy.table == table && copy.patches.is_empty() => {
             Ok(Relay { after, ..copy })
         }
-        _ => Err(CopyError::Other),
+        _ => Err(CopyError::WrongContent),
     }
 }
--- a/crates/citronway/src/gateway/control/crashes.rs
+++ b/crates/citronway/src/gateway/control/crashes.rs
@@ -30,11 +30,11 @@
 
 /// Time from the first news for the row until it is written, in milliseconds: all instances
 /// tell of one crash within it.
-const GATHER_MS: u64 = 50;
+const BATCH_MS: u64 = 50;
 
 /// Time for which suspects that were cleared stay in the row, in milliseconds. After a start
 /// they are tried once more, and cleared by the next answer.
-const CLEARED_STAY_MS: u64 = 10_000;
+const CLEARED_KEPT_MS: u64 = 10_000;
 
 /// What this instance knows of crashes.
 #[derive(Debug, Default)]
@@ -47,20 +47,20 @@
     row: Option<StoredCrashes>,
     version: Version,
     /// A row was read.
-    has_read: bool,
+    has_loaded: bool,
     /// The row that stands cannot be read.
     unreadable: bool,
     known: Arc<CrashSnapshot>,
     /// What changed for callers since it was logged.
     verdicts: Vec<Verdict>,
     /// Leader to whom all was told.
-    told_term: u64,
+    sent_term: u64,
     writing: bool,
     write_after: Mono,
     /// Since when the row lacks something.
-    lacks_since: Option<Mono>,
+    outdated_since: Option<Mono>,
     /// When the row was last seen to change.
-    row_changed: Mono,
+    row_changed_at: Mono,
 }
 
 impl Crashes {
@@ -72,12 +72,12 @@
     }
 
     /// Takes the row, or that it was removed.
-    pub(super) fn row_seen(&mut self, now: Mono, row: &Row) -> Result<(), serde_json::Error> {
+    pub(super) fn apply_row(&mut self, now: Mono, row: &Row) -> Result<(), serde_json::Error> {
         if row.version <= self.version {
             return Ok(());
         }
         self.version = row.version;
-        self.row_changed = now;
+        self.row_changed_at = now;
         let value = row.value.as_deref();
         let read = value.map(serde_json::from_slice::<StoredCrashes>);
         // What is known holds on; another version of the product may have written the row.
@@ -94,7 +94,7 @@
             self.verdicts
                 .extend(self.ledger.apply_refused(now, *refused));
         }
-        self.remember(now, stored.as_ref());
+        self.load_suspects(now, stored.as_ref());
         self.row = stored;
         self.refresh();
         Ok(())
@@ -105,8 +105,8 @@
     /// Failure guarded against: all instances end and start again, and work that crashed
     /// endpoints before is sent at all of them at once. Later rows tell nothing that the
     /// others do not report, and may name work that was cleared since.
-    fn remember(&mut self, now: Mono, stored: Option<&StoredCrashes>) {
-        if std::mem::replace(&mut self.has_read, true) {
+    fn load_suspects(&mut self, now: Mono, stored: Option<&StoredCrashes>) {
+        if std::mem::replace(&mut self.has_loaded, true) {
             return;
         }
         for suspect in stored.iter().flat_map(|stored| &stored.suspects) {
@@ -115,7 +115,7 @@
     }
 
     /// Takes what this instance's own traffic saw.
-    pub(super) fn own_seen(&mut self, now: Mono, signs: &[Sign]) {
+    pub(super) fn record_own_signs(&mut self, now: Mono, signs: &[Sign]) {
         for sign in signs {
             self.verdicts.extend(self.ledger.apply(now, *sign));
             self.outbox.push(*sign);
@@ -124,10 +124,10 @@
     }
 
     /// Takes what another instance reports; `passes_on` if this one reports for it.
-    fn heard(&mut self, now: Mono, report: &Report, passes_on: bool) {
-        for sign in self.taken.new_signs(report) {
-            self.verdicts.extend(self.ledger.apply(now, *sign));
-            if passes_on {
+    fn record_report(&mut self, now: Mono, report: &Report, forwards: bool) {
+        for sign in self.taken.fresh(report) {
+            self.verdicts.extend(self.ledger.take(now, *sign));
+            if forwards {
                 self.outbox.push(*sign);
             }
         }
@@ -135,7 +135,7 @@
     }
 
     /// Takes what the leader tells.
-    pub(super) fn told(&mut self, now: Mono, totals: &Totals) {
+    pub(super) fn apply_totals(&mut self, now: Mono, totals: &Totals) {
         for refused in &totals.refused {
             self.verdicts
                 .extend(self.ledger.apply_refused(now, *refused));
@@ -147,21 +147,21 @@
     }
 
     /// Takes a crash that another instance tells the leader of.
-    pub(super) fn crash_told(&mut self, now: Mono, sign: Sign) {
-        self.verdicts.extend(self.ledger.apply(now, sign));
+    pub(super) fn record_crash(&mut self, now: Mono, sign: Sign) {
+        self.verdicts.extend(self.ledger.take(now, sign));
         self.refresh();
     }
 
     /// Takes from the leader that an endpoint has answered the work.
-    pub(super) fn cleared(&mut self, now: Mono, work: Fingerprint) {
+    pub(super) fn record_answer(&mut self, now: Mono, work: Fingerprint) {
         let answered = Sign::Answered { work };
         self.verdicts.extend(self.ledger.apply(now, answered));
         self.refresh();
     }
 
     /// Whether there are signs that were in no report yet.
-    pub(super) fn has_news(&self) -> bool {
-        self.outbox.has_unsent()
+    pub(super) fn has_unsent_signs(&self) -> bool {
+        self.outbox.has_news()
     }
 
     /// Takes what the next report says, and the number of its first sign.
@@ -184,8 +184,8 @@
     /// Failure: the leader that counted the crashes is lost, and its successor begins anew.
     fn step(&mut self, now: Mono, term: u64) {
         self.verdicts.extend(self.ledger.expire(now));
-        if self.told_term < term {
-            self.told_term = term;
+        if self.sent_term < term {
+            self.sent_term = term;
             for sign in self.ledger.signs() {
                 self.outbox.push(sign);
             }
@@ -198,8 +198,8 @@
     /// Failure guarded against: instances are restarted in turn, hear nothing of what the
     /// others have told before, and send copies of a suspect without asking. One report holds
     /// what is told, so that it does not keep news waiting.
-    pub(super) fn tell_again(&mut self) {
-        for sign in self.ledger.newest_signs(MAX_SIGNS_PER_REPORT) {
+    pub(super) fn resend_newest_signs(&mut self) {
+        for sign in self.ledger.newest_signs(MOST_SIGNS) {
             self.outbox.push(sign);
         }
     }
@@ -212,7 +212,7 @@
     }
 
     /// What the leader is to write now.
-    fn due(&mut self, now: Mono) -> Option<StoredCrashes> {
+    fn row_to_write(&mut self, now: Mono) -> Option<StoredCrashes> {
         if self.writing || self.unreadable || now < self.write_after {
             return None;
         }
@@ -220,15 +220,15 @@
         refused.sort_unstable();
         let suspects = self.ledger.suspects_to_store(now);
         let key = match &self.row {
-            Some(row) if self.stands(now, row, &refused, &suspects) => {
-                self.lacks_since = None;
+            Some(row) if self.is_row_current(now, row, &refused, &suspects) => {
+                self.outdated_since = None;
                 return None;
             }
             Some(row) => row.key,
             None => FingerprintKey::new(uuid::Uuid::new_v4().into_bytes()),
         };
-        let since = *self.lacks_since.get_or_insert(now);
-        if now.since(since) < GATHER_MS && self.row.is_some() {
+        let since = *self.outdated_since.get_or_insert(now);
+        if now.since(since) < BATCH_MS && self.row.is_some() {
             return None;
         }
         Some(StoredCrashes {
@@ -239,14 +239,14 @@
     }
 
     /// Whether the row needs not be written anew.
-    fn stands(
+    fn is_row_current(
         &self,
         now: Mono,
         row: &StoredCrashes,
         refused: &[RefusedWork],
         suspects: &[StoredSuspect],
     ) -> bool {
-        let is_fresh = now.since(self.row_changed) < CLEARED_STAY_MS;
+        let is_fresh = now.since(self.row_changed_at) < CLEARED_KEPT_MS;
         let is_same = row.suspects.len() == suspects.len();
         row.refused == refused && row.covers(suspects) && (is_same || is_fresh)
     }
@@ -262,17 +262,17 @@
 
 impl Control {
     /// Takes signs that another instance reports.
-    pub(super) fn signs_came(&mut self, now: Mono, report: &Report, passes_on: bool) {
-        self.trials.crashes_seen(&report.signs);
-        self.cluster.crashes.heard(now, report, passes_on);
+    pub(super) fn record_signs(&mut self, now: Mono, report: &Report, forwards: bool) {
+        self.trials.record_crashes(&report.signs);
+        self.cluster.crashes.record_report(now, report, forwards);
     }
 
     /// Brings what is known of crashes up to date, and writes the row where it is to change.
     pub(super) fn step_crashes(&mut self, now: Mono, events: &mpsc::Sender<Event>) {
         let crashes = &mut self.cluster.crashes;
-        crashes.step(now, self.duty.term());
+        crashes.step(now, self.leadership.term());
         for verdict in crashes.verdicts.drain(..) {
-            note(&self.metrics, &verdict);
+            report_verdict(&self.metrics, &verdict);
         }
         self.metrics.set_crash_suspects(crashes.ledger.len());
         // Whoever decides by it is told at once.
@@ -284,15 +284,15 @@
     }
 
     fn write_crashes(&mut self, now: Mono, events: &mpsc::Sender<Event>) {
-        let Some(office) = self.duty.office_version() else {
+        let Some(leader_version) = self.leadership.leadership_version() else {
             return;
         };
         // The leader's row is about to have another version, and this write would be refused.
-        if self.cluster.store_lost() || self.duty.is_claiming() {
+        if self.cluster.store_lost() || self.leadership.is_claim_pending() {
             return;
         }
         let crashes = &mut self.cluster.crashes;
-        let Some(stored) = crashes.due(now) else {
+        let Some(stored) = crashes.row_to_write(now) else {
             return;
         };
         let value = match serde_json::to_vec(&stored) {
@@ -304,10 +304,10 @@
         };
         crashes.writing = true;
         crashes.write_after = now.plus(WRITE_PAUSE_MS);
-        crashes.lacks_since = None;
-        let change = ConditionalWrite {
-            preconditions: vec![
-                (LEADER_KEY.to_owned(), office),
+        crashes.outdated_since = None;
+        let change = Change {
+            unless_changed: vec![
+                (LEADER_KEY.to_owned(), leader_version),
                 (CRASHES_KEY.to_owned(), crashes.expected()),
             ],
             put: vec![(CRASHES_KEY.to_owned(), value)],
@@ -334,7 +334,7 @@
     }
 }
 
-fn note(metrics: &Metrics, verdict: &Verdict) {
-    metrics.count_verdict(verdict);
+fn report_verdict(metrics: &Metrics, verdict: &Verdict) {
+    metrics.judged(verdict);
     observe::log_verdict(verdict);
 }
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -16,7 +16,7 @@
 
 use super::cluster::Cluster;
 use super::own_rows;
-use super::placing::Placing;
+use super::placing::Placer;
 use super::store::{IDLE_WAIT_MS, LEADER_WAIT_MS};
 
 /// Time between two claims that failed, in milliseconds.
@@ -32,7 +32,7 @@
 
 /// A row to be written.
 #[derive(Debug)]
-pub(super) struct RowWrite {
+pub(super) struct AssignmentWrite {
     pub service: ServiceName,
     pub row: Assignment,
     pub change: ConditionalWrite,
@@ -40,40 +40,40 @@
 
 /// What is due.
 #[derive(Debug)]
-pub(super) struct Due {
+pub(super) struct DueActions {
     pub orders: Vec<Order>,
-    pub writes: Vec<RowWrite>,
-    pub claim: Option<ConditionalWrite>,
+    pub writes: Vec<AssignmentWrite>,
+    pub claim: Option<Change>,
     /// How long to wait at the store for changes, in milliseconds.
     pub wait_ms: u64,
 }
 
 #[derive(Debug)]
-pub(super) struct Duty {
+pub(super) struct Leadership {
     me: Session,
     strength: Strength,
     /// Since when a leader could know of this instance.
     known_since: Mono,
     cfg: LeaderSettings,
     leaders: IndexMap<ServiceName, Leader>,
-    placing: Placing,
+    placer: Placer,
     /// Row by which this instance is in office.
-    office: Option<LeaderRow>,
+    leadership_row: Option<LeaderRow>,
     /// Highest term that was heard of.
     term: u64,
-    contact: Mono,
-    claiming: bool,
+    confirmed_at: Mono,
+    claim_pending: bool,
     claim_after: Mono,
     /// When the first claim was sent that replaces a version of the leader's row, and which.
-    claimed: Option<(Version, Mono)>,
-    cleared: bool,
+    first_claim: Option<(Version, Mono)>,
+    rivals_stopped: bool,
     /// What earlier leaders may still do.
     rivals: PredecessorLimits,
     /// Why this instance is not fit to lead, as it was last logged.
-    unfit_for: Option<&'static str>,
+    logged_unfit_cause: Option<&'static str>,
 }
 
-impl Duty {
+impl Leadership {
     /// `known_since` is when a leader can know of this instance at the latest.
     pub(super) fn new(me: Session, strength: Strength, known_since: Mono) -> Self {
         Self {
@@ -82,21 +82,21 @@
             known_since,
             cfg: LeaderSettings::default(),
             leaders: IndexMap::new(),
-            placing: Placing::default(),
-            office: None,
+            placer: Placer::default(),
+            leadership_row: None,
             term: 0,
-            contact: Mono::default(),
-            claiming: false,
+            confirmed_at: Mono::default(),
+            claim_pending: false,
             claim_after: Mono::default(),
-            claimed: None,
-            cleared: false,
-            rivals: PredecessorLimits::default(),
-            unfit_for: None,
+            first_claim: None,
+            rivals_stopped: false,
+            rivals: Rivals::default(),
+            logged_unfit_cause: None,
         }
     }
 
     /// Notes that the store lists this instance since before its start.
-    pub(super) fn listed_at(&mut self, started: Mono) {
+    pub(super) fn set_known_since(&mut self, started: Mono) {
         self.known_since = started;
     }
 
@@ -104,7 +104,7 @@
         self.term
     }
 
-    pub(super) fn term_heard(&mut self, term: u64) {
+    pub(super) fn observe_term(&mut self, term: u64) {
         if term <= self.term {
             return;
         }
@@ -112,34 +112,38 @@
         // Failure: a leader that cannot reach the store does not see that it was
         // replaced, and grants beside its successor. Any instance that knows of the
         // successor stops it.
-        if self.office.as_ref().is_some_and(|row| row.term < term) {
-            self.leave_office("a later leader is heard of");
+        if self
+            .leadership_row
+            .as_ref()
+            .is_some_and(|row| row.term < term)
+        {
+            self.step_down("a later leader is heard of");
         }
     }
 
     /// Whether this instance should not keep.
     pub(super) fn is_unfit(&self, now: Mono, cluster: &Cluster) -> bool {
-        self.unfitness(now, cluster).is_some()
+        self.unfit_cause(now, cluster).is_some()
     }
 
     /// Why this instance should not keep, if there is a reason.
-    fn unfitness(&self, now: Mono, cluster: &Cluster) -> Option<&'static str> {
+    fn unfit_cause(&self, now: Mono, cluster: &Cluster) -> Option<&'static str> {
         if cluster.store_lost() {
             return Some("the store does not answer");
         }
-        if self.office.is_some() && now.since(self.contact) > UNCONFIRMED_MS {
+        if self.leadership_row.is_some() && now.since(self.confirmed_at) > UNCONFIRMED_MS {
             return Some("the store has not confirmed the leader");
         }
         let cut_off = self.leaders.values().any(|leader| leader.is_cut_off(now));
         cut_off.then_some("most endpoints do not answer")
     }
 
-    fn note_fitness(&mut self, now: Mono, cluster: &Cluster) {
-        let cause = self.unfitness(now, cluster);
-        if cause == self.unfit_for {
+    fn log_fitness(&mut self, now: Mono, cluster: &Cluster) {
+        let cause = self.unfit_cause(now, cluster);
+        if cause == self.logged_unfit_cause {
             return;
         }
-        self.unfit_for = cause;
+        self.logged_unfit_cause = cause;
         match cause {
             Some(cause) => log::info!(cause; "this instance is not fit to lead"),
             None => log::info!("this instance is fit to lead"),
@@ -147,15 +151,15 @@
     }
 
     /// Whether this instance is the leader as far as it knows.
-    pub(super) const fn in_office(&self) -> bool {
-        self.office.is_some()
+    pub(super) const fn is_leader(&self) -> bool {
+        self.leadership_row.is_some()
     }
 
     /// Which part of all sends to cold endpoints this leader grants now.
     pub(super) fn cold_part(&self, now: Mono) -> Option<f64> {
-        let row = self.office.as_ref()?;
-        let office = LeaderStanding {
-            confirmed_at: self.contact,
+        let row = self.leadership_row.as_ref()?;
+        let office = Office {
+            contact: self.confirmed_at,
             rivals: self.rivals,
             earlier_leaders: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
         };
@@ -163,18 +167,18 @@
     }
 
     /// Version of the row by which this instance leads, while it does.
-    pub(super) fn office_version(&self) -> Option<Version> {
-        self.office.as_ref().map(|row| row.version)
+    pub(super) fn leadership_version(&self) -> Option<Version> {
+        self.leadership_row.as_ref().map(|row| row.version)
     }
 
     /// Takes rows that another instance passed on; they confirm nothing.
-    pub(super) fn rows_relayed(&mut self, cluster: &Cluster) {
-        self.take_assignments(cluster);
+    pub(super) fn take_relayed_rows(&mut self, cluster: &Cluster) {
+        self.update_assignments(cluster);
         let Some(row) = &cluster.leader else { return };
-        self.term_heard(row.term);
+        self.observe_term(row.term);
     }
 
-    fn take_assignments(&mut self, cluster: &Cluster) {
+    fn update_assignments(&mut self, cluster: &Cluster) {
         for (service, owners) in &cluster.owners {
             let leader = self
                 .leaders
@@ -192,21 +196,21 @@
     ///
     /// Failure: a relayed row was lost, and the next leader goes by an assignment that the
     /// store no longer has. It renews holds of an endpoint whose keys have another owner.
-    pub(super) fn rows_seen(
+    pub(super) fn take_store_rows(
         &mut self,
         now: Mono,
-        asked: Mono,
+        sent_at: Mono,
         cluster: &Cluster,
         whole: bool,
     ) -> bool {
-        self.take_assignments(cluster);
+        self.update_assignments(cluster);
         let Some(row) = &cluster.leader else {
             return false;
         };
         self.term = self.term.max(row.term);
         if row.instance != self.me.instance || row.session != self.me.id {
-            if self.office.is_some() {
-                self.leave_office("the row names another leader");
+            if self.leadership_row.is_some() {
+                self.step_down("the row names another leader");
             }
             return false;
         }
@@ -214,31 +218,31 @@
             return false;
         }
         if self
-            .office
+            .leadership_row
             .as_ref()
             .is_some_and(|office| office.term == row.term)
         {
-            self.office = Some(row.clone());
-            self.contact = self.contact.max(asked);
+            self.leadership_row = Some(row.clone());
+            self.confirmed_at = self.confirmed_at.max(sent_at);
             for leader in self.leaders.values_mut() {
-                leader.confirm(asked);
+                leader.confirm(sent_at);
             }
         } else if row.term == self.term {
-            if !whole && cluster.peers.was_told() {
+            if !whole && cluster.peers.has_totals() {
                 return true;
             }
-            self.take_office(now, asked, row, cluster);
+            self.become_leader(now, sent_at, row, cluster);
         }
         false
     }
 
-    fn take_office(&mut self, now: Mono, asked: Mono, row: &LeaderRow, cluster: &Cluster) {
+    fn become_leader(&mut self, now: Mono, sent_at: Mono, row: &LeaderRow, cluster: &Cluster) {
         let former = row.former.len();
         log::info!(term = row.term, former; "this instance leads");
-        self.office = Some(row.clone());
-        self.contact = asked;
-        self.cleared = false;
-        self.placing.begin();
+        self.leadership_row = Some(row.clone());
+        self.confirmed_at = sent_at;
+        self.rivals_stopped = false;
+        self.placer.reset();
         for service in cluster.sharded() {
             self.leaders
                 .entry(service.clone())
@@ -246,87 +250,90 @@
         }
         self.rivals = self.rivals(now, cluster);
         for leader in self.leaders.values_mut() {
-            leader.begin_term(asked, self.rivals);
+            leader.begin(sent_at, self.rivals);
         }
     }
 
     /// What earlier leaders may still do, if none is known to have stopped.
-    fn rivals(&self, now: Mono, cluster: &Cluster) -> PredecessorLimits {
-        let former = self.office.as_ref().map_or(&[][..], |row| &row.former);
+    fn rivals(&self, now: Mono, cluster: &Cluster) -> Rivals {
+        let former = self
+            .leadership_row
+            .as_ref()
+            .map_or(&[][..], |row| &row.former);
         let store_ms = cluster.store_ms(now);
-        let claimed = self.claimed.map_or(now, |(_, at)| at);
-        let mut rivals = self.cfg.predecessor_limits(now);
-        rivals.hold_until = election::former_holds_until(now, &self.cfg, former, store_ms, claimed);
+        let claimed = self.first_claim.map_or(now, |(_, at)| at);
+        let mut rivals = self.cfg.rivals(now);
+        rivals.hold_until = election::holds_until(now, &self.cfg, former, store_ms, claimed);
         if former.is_empty() {
             rivals.connect_until = now;
         }
         rivals
     }
 
-    fn leave_office(&mut self, cause: &'static str) {
+    fn step_down(&mut self, cause: &'static str) {
         log::info!(cause; "this instance no longer leads");
-        self.office = None;
+        self.leadership_row = None;
         for leader in self.leaders.values_mut() {
             leader.end_term();
         }
     }
 
-    pub(super) fn ordered(&mut self, now: Mono, order: &Order, result: &OrderResult) {
+    pub(super) fn order_done(&mut self, now: Mono, order: &Order, result: &OrderResult) {
         if let Some(leader) = self.leaders.get_mut(&order.service) {
             leader.answered(now, order, result);
         }
     }
 
-    pub(super) fn wrote(&mut self, now: Mono, service: &ServiceName, result: WriteResult) {
+    pub(super) fn write_done(&mut self, now: Mono, service: &ServiceName, result: WriteResult) {
         if let Some(leader) = self.leaders.get_mut(service) {
             leader.handle_write_result(now, result);
         }
     }
 
     /// Whether a write of the leader's row is under way.
-    pub(super) const fn is_claiming(&self) -> bool {
-        self.claiming
+    pub(super) const fn is_claim_pending(&self) -> bool {
+        self.claim_pending
     }
 
-    pub(super) fn claim_ended(&mut self) {
-        self.claiming = false;
+    pub(super) fn claim_done(&mut self) {
+        self.claim_pending = false;
     }
 
     /// Takes the usual time of work at each service.
-    pub(super) fn work_seen(&mut self, work_ms: &[(ServiceName, f64)]) {
-        self.placing.work_seen(work_ms);
+    pub(super) fn set_work_ms(&mut self, work_ms: &[(ServiceName, f64)]) {
+        self.placer.set_work_ms(work_ms);
     }
 
     /// Takes the keys that an instance, this one too, was asked for.
-    pub(super) fn traffic_seen(&mut self, now: Mono, report: &Report) {
-        if self.office.is_some() {
-            self.placing.traffic_seen(now, report);
+    pub(super) fn record_traffic(&mut self, now: Mono, report: &Report) {
+        if self.leadership_row.is_some() {
+            self.placer.record_traffic(now, report);
         }
     }
 
     /// What is due now.
-    pub(super) fn step(&mut self, now: Mono, cluster: &mut Cluster, stopping: bool) -> Due {
-        self.note_fitness(now, cluster);
+    pub(super) fn step(&mut self, now: Mono, cluster: &mut Cluster, stopping: bool) -> DueActions {
+        self.log_fitness(now, cluster);
         let claim = self.claim(now, cluster, stopping);
-        let mut due = Due {
+        let mut due = DueActions {
             orders: Vec::new(),
             writes: Vec::new(),
-            claim: claim.or_else(|| self.forget_former(now)),
+            claim: claim.or_else(|| self.remove_former_leaders(now)),
             wait_ms: IDLE_WAIT_MS,
         };
-        let Some(office) = self.office.clone() else {
+        let Some(office) = self.leadership_row.clone() else {
             return due;
         };
         due.wait_ms = LEADER_WAIT_MS;
-        self.clear_rivals(now, &office, cluster);
+        self.end_rival_wait(now, &office, cluster);
         for service in cluster.sharded() {
             self.leaders.entry(service.clone()).or_insert_with(|| {
                 let mut leader = Leader::new(self.cfg, service);
-                leader.begin_term(self.contact, PredecessorLimits::default());
+                leader.begin(self.confirmed_at, Rivals::default());
                 leader
             });
         }
-        self.placing.place(now, cluster, &mut self.leaders);
+        self.placer.place(now, cluster, &mut self.leaders);
         for leader in self.leaders.values_mut() {
             for action in leader.step(now, &cluster.registry) {
                 match action {
@@ -335,7 +342,7 @@
                         service,
                         row,
                         expected,
-                    } => match row_write(&office, service.clone(), row, expected) {
+                    } => match assignment_write(&office, service.clone(), row, expected) {
                         Ok(write) => due.writes.push(write),
                         Err(e) => {
                             let service = service.as_str();
@@ -349,8 +356,8 @@
     }
 
     /// Lifts the wait for earlier leaders once all are known to have stopped.
-    fn clear_rivals(&mut self, now: Mono, office: &LeaderRow, cluster: &Cluster) {
-        if self.cleared || office.former.is_empty() {
+    fn end_rival_wait(&mut self, now: Mono, office: &LeaderRow, cluster: &Cluster) {
+        if self.rivals_stopped || office.former.is_empty() {
             return;
         }
         let sights = cluster.peers.sights();
@@ -359,8 +366,8 @@
                 || election::has_stopped(&former.session, office.term, &sights)
         };
         if office.former.iter().all(stopped) {
-            self.cleared = true;
-            self.rivals = self.rivals.min(self.cfg.stopped_predecessor_limits(now));
+            self.rivals_stopped = true;
+            self.rivals = self.rivals.min(self.cfg.stopped_rivals(now));
             log::info!(term = office.term; "earlier leaders have stopped");
             for leader in self.leaders.values_mut() {
                 leader.predecessor_stopped(now);
@@ -373,20 +380,20 @@
     /// Failure: an instance that kept is gone for good and never says that it has
     /// stopped. Left in the row, each later leader would wait for it anew before it
     /// gives the keys of a dead endpoint to another.
-    fn forget_former(&mut self, now: Mono) -> Option<ConditionalWrite> {
+    fn remove_former_leaders(&mut self, now: Mono) -> Option<Change> {
         let office = self
-            .office
+            .leadership_row
             .as_ref()
             .filter(|office| !office.former.is_empty())?;
-        let free = self.cleared || now > self.rivals.hold_until;
-        if !free || self.claiming || now < self.claim_after {
+        let free = self.rivals_stopped || now > self.rivals.hold_until;
+        if !free || self.claim_pending || now < self.claim_after {
             return None;
         }
         let value = own_rows::leader_value(&self.me, office.term, Vec::new());
         let value = value
             .inspect_err(|e| log::error!(cause = e.to_string(); "leader row not written"))
             .ok()?;
-        self.claiming = true;
+        self.claim_pending = true;
         self.claim_after = now.plus(CLAIM_PAUSE_MS);
         Some(ConditionalWrite {
             preconditions: vec![(own_rows::LEADER_KEY.to_owned(), office.version)],
@@ -412,8 +419,8 @@
             row_seen: cluster.leader_seen,
             peers,
             standbys: cluster.peers.standbys(),
-            instances: cluster.peers.listed(),
-            is_large_fleet: cluster.peers.are_many(now) || cluster.peers.was_told(),
+            instances: cluster.peers.listed_count(),
+            many: cluster.peers.is_large_fleet(now) || cluster.peers.has_totals(),
         }
     }
 
@@ -424,8 +431,8 @@
         election::watches_store(now, &self.situation(now, false, cluster, &peers))
     }
 
-    fn claim(&mut self, now: Mono, cluster: &Cluster, stopping: bool) -> Option<ConditionalWrite> {
-        if self.claiming || now < self.claim_after || self.office.is_some() {
+    fn claim(&mut self, now: Mono, cluster: &Cluster, stopping: bool) -> Option<Change> {
+        if self.claim_pending || now < self.claim_after || self.leadership_row.is_some() {
             return None;
         }
         let peers = cluster.peers.sights();
@@ -447,9 +454,12 @@
             }
         };
         log::info!(term; "claiming the leader's duty");
-        self.claiming = true;
-        if self.claimed.is_none_or(|(version, _)| version != expected) {
-            self.claimed = Some((expected, now));
+        self.claim_pending = true;
+        if self
+            .first_claim
+            .is_none_or(|(version, _)| version != expected)
+        {
+            self.first_claim = Some((expected, now));
         }
         self.claim_after = now.plus(CLAIM_PAUSE_MS);
         Some(ConditionalWrite {
@@ -459,15 +469,15 @@
     }
 }
 
-fn row_write(
+fn assignment_write(
     office: &LeaderRow,
     service: ServiceName,
     row: Assignment,
     expected: Version,
-) -> Result<RowWrite, RowError> {
+) -> Result<AssignmentWrite, RowError> {
     let key = own_rows::assignment_key(&service);
     let value = row.to_bytes()?;
-    Ok(RowWrite {
+    Ok(AssignmentWrite {
         service,
         row,
         change: ConditionalWrite {
--- a/crates/citronway/src/gateway/control/entries.rs
+++ b/crates/citronway/src/gateway/control/entries.rs
@@ -14,18 +14,18 @@
 use super::unusable::Source;
 
 /// What an entry says.
-enum Said {
-    Listed(Listing),
-    Gone,
+enum EntryState {
+    Registration(Listing),
+    Removed,
     /// It cannot be used, and why.
     Unusable(String),
 }
 
 impl Cluster {
     /// Takes entries; `whole` is the version of the store if these are all there are.
-    pub(super) fn endpoint_rows(&mut self, now: Mono, rows: &[Row], whole: Option<Version>) {
+    pub(super) fn apply_endpoint_rows(&mut self, now: Mono, rows: &[Row], whole: Option<Version>) {
         if let Some(version) = whole {
-            self.drop_missing(now, rows, version);
+            self.remove_unlisted(now, rows, version);
         }
         for row in rows {
             // Failure: relayed rows overtake each other, and an endpoint that leaves
@@ -35,14 +35,14 @@
                 continue;
             }
             *newest = row.version;
-            let said = self.read_entry(row);
+            let state = self.read_entry(row);
             // Load: 3,000 lines of each of 300 instances at a start, on a tenth of a core.
             let level = if whole.is_some() {
                 log::Level::Debug
             } else {
                 log::Level::Info
             };
-            self.entry(now, &row.key, said, level);
+            self.apply_entry(now, &row.key, state, level);
         }
         if let Some(version) = whole {
             let endpoints = self.registry.iter().count();
@@ -51,7 +51,7 @@
     }
 
     /// Drops endpoints whose entries are not among all that there were at `version`.
-    fn drop_missing(&mut self, now: Mono, rows: &[Row], version: Version) {
+    fn remove_unlisted(&mut self, now: Mono, rows: &[Row], version: Version) {
         let registry = Arc::make_mut(&mut self.registry);
         for name in registry.names() {
             // One that was relayed since the rows were read is not among them.
@@ -64,43 +64,43 @@
         }
     }
 
-    fn read_entry(&self, row: &Row) -> Said {
+    fn read_entry(&self, row: &Row) -> EntryState {
         let Some(value) = &row.value else {
-            return Said::Gone;
+            return EntryState::Removed;
         };
         match citronway_platform::endpoints::decode(&row.key, value) {
             // Failure: an entry names this instance, which would send requests to itself.
-            Ok(listing) if self.own_addresses.contains(&listing.address) => Said::Unusable(
+            Ok(listing) if self.own_addresses.contains(&listing.address) => EntryState::Unusable(
                 format!("{} is an address of this instance", listing.address),
             ),
-            Ok(listing) => Said::Listed(listing),
-            Err(e) => Said::Unusable(e.to_string()),
+            Ok(listing) => EntryState::Registration(listing),
+            Err(e) => EntryState::Unusable(e.to_string()),
         }
     }
 
-    fn entry(&mut self, now: Mono, key: &str, said: Said, level: log::Level) {
+    fn apply_entry(&mut self, now: Mono, key: &str, state: EntryState, level: log::Level) {
         let registry = Arc::make_mut(&mut self.registry);
         let name = EndpointName::new(key);
-        match said {
-            Said::Listed(listing) => {
-                log_news(registry, &listing, level);
+        match state {
+            EntryState::Registration(listing) => {
+                log_listing_change(registry, &listing, level);
                 registry.put(now, listing);
-                self.unusable.settled(Source::Entry, key);
+                self.unusable.clear(Source::Entry, key);
             }
-            Said::Gone => {
+            EntryState::Removed => {
                 log::info!(endpoint = key; "endpoint no longer listed");
                 registry.remove(now, &name);
-                self.unusable.settled(Source::Entry, key);
+                self.unusable.clear(Source::Entry, key);
             }
-            Said::Unusable(cause) => {
-                registry.discard(&name);
-                self.unusable.refused(Source::Entry, key, cause);
+            EntryState::Unusable(cause) => {
+                registry.withdraw(&name);
+                self.unusable.record_row(Source::Entry, key, cause);
             }
         }
     }
 }
 
-fn log_news(registry: &Registry, listing: &Listing, level: log::Level) {
+fn log_listing_change(registry: &Registry, listing: &Listing, level: log::Level) {
     let known = registry.get(&listing.start);
     if known.is_some_and(|known| known.listing.draining == listing.draining) {
         return;
--- a/crates/citronway/src/gateway/control/first.rs
+++ b/crates/citronway/src/gateway/control/first.rs
@@ -22,7 +22,7 @@
 use super::{Control, Event, own_rows};
 
 /// One in so many weak machines reads the store too, for fleets without strong ones.
-const READERS: u64 = 16;
+const READER_ONE_IN: u64 = 16;
 
 /// Time over which weak machines list themselves in the store, in milliseconds: it writes
 /// 200 rows of a table a second.
@@ -31,22 +31,23 @@
 /// Time after the start in which copies are waited for, in milliseconds: a leader is there
 /// after 0.7 s, all are listed 1.5 s after their start, and a delegate gives a copy of a few
 /// hundred kilobytes to each of its members within 2 s.
-const COPIES_WITHIN_MS: u64 = 5_000;
+const COPIES_TIMEOUT_MS: u64 = 5_000;
 
 /// Whether the store lists this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Listed {
+pub(super) enum Registration {
     /// Not that it is known.
-    NotYet,
+    NotStarted,
     /// Its row is being written.
-    UnderWay,
+    Pending,
     /// Its row stands.
-    Stands,
+    Done,
 }
 
 /// Whether this instance waits for copies.
-pub(super) fn waits_for_copies(cfg: &InstanceSettings) -> bool {
-    let reads = cfg.strength == Strength::FULL || rank_of(&cfg.instance).is_multiple_of(READERS);
+pub(super) fn starts_from_copies(cfg: &InstanceSettings) -> bool {
+    let reads =
+        cfg.strength == Strength::FULL || rank_of(&cfg.instance).is_multiple_of(READER_ONE_IN);
     cfg.first_start && !reads
 }
 
@@ -65,19 +66,19 @@
     /// second; those that came last were refused and asked again, and the claims of the
     /// leader's duty waited behind them. After a restart the row stands already.
     pub(super) fn register(&mut self, events: &mpsc::Sender<Event>) {
-        let knows = self.cluster.own_loaded() || self.is_held();
-        if self.listed != Listed::NotYet || !knows {
+        let knows = self.cluster.own_loaded() || self.awaits_copies();
+        if self.registration != Registration::NotStarted || !knows {
             return;
         }
-        self.listed = Listed::UnderWay;
+        self.registration = Registration::Pending;
         let row = InstanceRow {
             session: self.me.clone(),
             address: self.cfg.reports,
             zone: self.cfg.zone.clone(),
         };
-        if self.cluster.lists(&row) {
-            self.listed = Listed::Stands;
-            self.duty.listed_at(self.started);
+        if self.cluster.is_listed_as(&row) {
+            self.registration = Registration::Done;
+            self.leadership.set_known_since(self.started);
             log::info!("instance is listed in the store already");
             return;
         }
@@ -90,23 +91,25 @@
     }
 
     /// Whether this instance waits for copies instead of asking the store.
-    pub(super) fn is_held(&self) -> bool {
-        let mut follows = self.follows.iter();
-        follows.any(|(_, follow)| follow.held.load(Ordering::Relaxed))
+    pub(super) fn awaits_copies(&self) -> bool {
+        let mut polls = self.polls.iter();
+        polls.any(|(_, control)| control.awaits_copy.load(Ordering::Relaxed))
     }
 
     /// Has the store asked after all where no copies came.
-    pub(super) fn end_first_wait(&self, now: Mono) {
-        if !self.is_held() {
+    pub(super) fn end_copy_wait(&self, now: Mono) {
+        if !self.awaits_copies() {
             return;
         }
-        let has_all = Table::ALL.iter().all(|table| self.cluster.has_read(*table));
-        if !has_all && now.since(self.started) < COPIES_WITHIN_MS {
+        let has_all = Table::ALL
+            .iter()
+            .all(|table| self.cluster.has_loaded(*table));
+        if !has_all && now.since(self.started) < COPIES_TIMEOUT_MS {
             return;
         }
-        for (_, follow) in &self.follows {
-            follow.held.store(false, Ordering::Relaxed);
-            follow.refresh.notify_one();
+        for (_, control) in &self.polls {
+            control.awaits_copy.store(false, Ordering::Relaxed);
+            control.refresh.notify_one();
         }
     }
 }
--- a/crates/citronway/src/gateway/control/hearing.rs
+++ b/crates/citronway/src/gateway/control/hearing.rs
@@ -14,16 +14,16 @@
 use crate::clock;
 
 impl Control {
-    fn relay_came(&mut self, events: &mpsc::Sender<Event>, relay: &Relay) {
+    fn on_relay(&mut self, events: &mpsc::Sender<Event>, relay: &Relay) {
         let now = clock::mono();
-        let position = &self.follow(relay.table).position;
+        let position = &self.poll_control(relay.table).position;
         if position.load(Ordering::Relaxed) == 0 {
             return;
         }
-        let newest = self.cluster.seen().of(relay.table);
+        let newest = self.cluster.seen_versions().of(relay.table);
         if relay.after.0 > newest || !self.cluster.can_patch(relay) {
             // Something in between was lost.
-            self.bring_missed(now, relay.table, events);
+            self.fetch_missed(now, relay.table, events);
             return;
         }
         position.fetch_max(relay.position.0, Ordering::Relaxed);
@@ -31,14 +31,14 @@
             return;
         }
         let table = relay.table;
-        self.cluster.relayed(now, relay);
+        self.cluster.apply_relay(now, relay);
         if table == Table::Own {
-            self.duty.rows_relayed(&self.cluster);
+            self.leadership.take_relayed_rows(&self.cluster);
         }
     }
 
     /// Takes a datagram that came from an address.
-    pub(super) fn datagram_came(
+    pub(super) fn on_datagram(
         &mut self,
         socket: &UdpSocket,
         events: &mpsc::Sender<Event>,
@@ -46,31 +46,31 @@
         from: SocketAddr,
     ) {
         match datagram::decode(bytes) {
-            Ok(Datagram::Report(report)) => self.report_came(&report, from),
+            Ok(Datagram::Report(report)) => self.on_report(&report, from),
             Ok(Datagram::Relay(relay)) => {
                 if self.place.forwards_from(from) {
                     self.send_to_members(socket, bytes);
                 }
-                self.relay_came(events, &relay);
+                self.on_relay(events, &relay);
             }
-            Ok(Datagram::Totals(totals)) => self.totals_came(socket, totals, from),
-            Ok(Datagram::TrialRequest(req)) => self.trial_requested(socket, &req, from),
-            Ok(Datagram::TrialReply(reply)) => self.trial_replied(&reply),
-            Ok(Datagram::TrialEnd(ended)) => self.trial_end_came(&ended),
-            Ok(Datagram::ColdRequest(asked)) => self.cold_requested(socket, &asked, from),
-            Ok(Datagram::ColdReply(reply)) => self.cold_replied(&reply),
+            Ok(Datagram::Totals(totals)) => self.on_totals(socket, totals, from),
+            Ok(Datagram::TrialRequest(req)) => self.on_trial_request(socket, &req, from),
+            Ok(Datagram::TrialReply(reply)) => self.on_trial_reply(&reply),
+            Ok(Datagram::TrialEnd(ended)) => self.on_trial_end(&ended),
+            Ok(Datagram::ColdRequest(asked)) => self.on_cold_request(socket, &asked, from),
+            Ok(Datagram::ColdReply(reply)) => self.on_cold_reply(&reply),
             Err(e) => log::warn!(cause = e.to_string(); "a datagram was dropped"),
         }
     }
 
-    fn totals_came(&mut self, socket: &UdpSocket, mut totals: Totals, from: SocketAddr) {
+    fn on_totals(&mut self, socket: &UdpSocket, mut totals: Totals, from: SocketAddr) {
         let now = clock::mono();
-        if totals.term < self.duty.term() {
+        if totals.term < self.leadership.term() {
             // A leader that was replaced and does not know it yet.
-            self.report_term(now, socket, from);
+            self.send_term(now, socket, from);
             return;
         }
-        self.duty.term_heard(totals.term);
+        self.leadership.observe_term(totals.term);
         let before = self.place.role(now);
         if !self.place.accept_totals(now, &totals, from) {
             return;
@@ -86,7 +86,7 @@
             let bytes = datagram::encode(&Datagram::Totals(totals.clone()));
             self.send_to_members(socket, &bytes);
         }
-        self.cluster.totals_told(now, totals);
+        self.cluster.apply_totals(now, totals);
         self.publish(now);
     }
 
@@ -96,22 +96,25 @@
         }
     }
 
-    fn report_came(&mut self, report: &Report, from: SocketAddr) {
+    fn on_report(&mut self, report: &Report, from: SocketAddr) {
         let now = clock::mono();
         let is_own = report.instance == self.me.instance;
-        let has_started = !self.cluster.peers.knows(&report.instance, report.session);
-        if is_own || !self.cluster.peers.report(now, report, from) {
+        let is_new_session = !self
+            .cluster
+            .peers
+            .knows_session(&report.instance, report.session);
+        if is_own || !self.cluster.peers.record_report(now, report, from) {
             return;
         }
-        self.cluster.traffic_seen(now, report);
-        self.duty.traffic_seen(now, report);
-        self.duty.term_heard(report.term);
-        let sums_up = matches!(self.place.role(now), Role::Delegate(_));
-        self.signs_came(now, report, sums_up);
-        if has_started && self.duty.in_office() {
-            self.cluster.crashes.tell_again();
+        self.cluster.record_traffic(now, report);
+        self.leadership.record_traffic(now, report);
+        self.leadership.observe_term(report.term);
+        let is_delegate = matches!(self.place.role(now), Role::Delegate(_));
+        self.record_signs(now, report, is_delegate);
+        if is_new_session && self.leadership.is_leader() {
+            self.cluster.crashes.resend_newest_signs();
         }
-        if sums_up {
+        if is_delegate {
             self.gathered.add(&report.endpoints, &report.keys);
         }
     }
--- a/crates/citronway/src/gateway/control/mod.rs
+++ b/crates/citronway/src/gateway/control/mod.rs
@@ -40,14 +40,14 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-use cluster::{Cluster, StoreSight};
-use cold::ColdDuty;
+use cluster::{Cluster, StoreStatus};
+use cold::ColdSendState;
 use copies::CopyError;
-use duty::Duty;
-use first::Listed;
+use duty::Leadership;
+use first::Registration;
 use orders::OrderClient;
-use store::{Follow, News, Store, StoreError};
-use trials::TrialDuty;
+use store::{PollControl, Store, StoreError, TableUpdate};
+use trials::TrialState;
 
 pub(super) use unusable::Source;
 
@@ -66,10 +66,10 @@
 ///
 /// Load: a leader of 720 endpoints hears 1,000 answers and reports a second. A look at all
 /// ranges after each of them took 0.1 of a core; at most 180 a second take 0.02.
-const RANGES_A_MS: usize = 150;
+const RANGES_PER_MS: usize = 150;
 
 /// Places in the ring of events of this thread's own tasks.
-const EVENTS: usize = 1_024;
+const EVENT_CAPACITY: usize = 1_024;
 
 /// Something that a task of this thread has to tell.
 #[derive(Debug)]
@@ -77,30 +77,30 @@
     /// News of a table; the call was sent at `asked`.
     Store {
         table: Table,
-        news: News,
-        asked: Mono,
+        update: TableUpdate,
+        sent_at: Mono,
     },
     /// An order was carried out or not.
-    Ordered { order: Order, result: OrderResult },
+    OrderDone { order: Order, result: OrderResult },
     /// A write of an assignment has ended.
-    Wrote {
+    WriteDone {
         service: ServiceName,
         result: WriteResult,
     },
     /// A claim has ended; the row that stands comes by the feed.
-    Claimed,
+    ClaimDone,
     /// A write of the row about crashes has ended.
     CrashesWritten { done: bool },
     /// The row of this instance stands.
     Registered,
     /// Another instance asks for the rows of a table after a version.
-    CopyAsked {
+    CopyRequested {
         table: Table,
         after: Version,
         reply: oneshot::Sender<Vec<u8>>,
     },
     /// An instance that was asked for a table has answered or not.
-    Copied {
+    CopyDone {
         table: Table,
         copy: Result<Relay, CopyError>,
     },
@@ -154,15 +154,15 @@
     view: watch::Sender<View>,
     seen: mpsc::Receiver<TrafficReport>,
     trial_events: mpsc::Receiver<TrialEvent>,
-    trials: TrialDuty,
-    cold_asks: mpsc::Receiver<ColdQuery>,
-    cold: ColdDuty,
+    trials: TrialState,
+    cold_asks: mpsc::Receiver<ColdAsk>,
+    cold: ColdSendState,
     stop: watch::Sender<Stop>,
     signals: Signals,
     cluster: Cluster,
-    duty: Duty,
+    leadership: Leadership,
     orders: OrderClient,
-    reports: u64,
+    report_number: u64,
     /// What was seen since the last report.
     unreported: report::Observations,
     /// What members reported since this delegate's last report.
@@ -171,20 +171,20 @@
     tree: Tree,
     /// To whom this leader told its sums last, and when.
     branches: Vec<Branch>,
-    told_totals: Mono,
+    totals_sent_at: Mono,
     /// Who claims first when this leader falls silent, and since when they are named.
     standbys: (Vec<InstanceName>, Mono),
-    follows: [(Table, Arc<Follow>); 3],
+    polls: [(Table, Arc<PollControl>); 3],
     started: Mono,
     stopping: bool,
     /// It was the leader at the last look.
-    kept: bool,
+    was_leader: bool,
     /// When a leader last passed rows on.
-    told_at: Mono,
+    relays_heard_at: Mono,
     /// Tables that another instance was asked for.
-    copying: Vec<Table>,
+    pending_copies: Vec<Table>,
     /// Whether the store lists this instance.
-    listed: Listed,
+    registration: Registration,
 }
 
 impl Control {
@@ -199,7 +199,7 @@
         let started = clock::mono();
         Self {
             cluster: Cluster::new(&cfg),
-            duty: Duty::new(
+            leadership: Leadership::new(
                 me.clone(),
                 cfg.strength,
                 started.plus(first::register_after_ms(&cfg)),
@@ -212,27 +212,27 @@
             view: ends.view,
             seen: ends.seen,
             trial_events: ends.trials,
-            trials: TrialDuty::default(),
+            trials: TrialState::default(),
             cold_asks: ends.cold,
-            cold: ColdDuty::default(),
+            cold: ColdSendState::default(),
             stop: ends.stop,
             signals: ends.signals,
             orders: OrderClient::default(),
-            reports: 0,
-            unreported: report::Observations::default(),
-            gathered: GatheredReports::default(),
-            place: TreePosition::default(),
+            report_number: 0,
+            unreported: report::Seen::default(),
+            gathered: Gathered::default(),
+            place: Place::default(),
             tree: Tree::default(),
             branches: Vec::new(),
-            told_totals: Mono::default(),
+            totals_sent_at: Mono::default(),
             standbys: (Vec::new(), Mono::default()),
-            follows: Table::ALL.map(|table| (table, Follow::new())),
+            polls: Table::ALL.map(|table| (table, PollControl::new())),
             started,
             stopping: false,
-            kept: false,
-            told_at: Mono::default(),
-            copying: Vec::new(),
-            listed: Listed::NotYet,
+            was_leader: false,
+            relays_heard_at: Mono::default(),
+            pending_copies: Vec::new(),
+            registration: Registration::NotStarted,
         }
     }
 
@@ -253,11 +253,11 @@
             Err(e) => log::error!(cause = e.to_string(); "metrics are not served"),
         }
         let socket = UdpSocket::bind(self.cfg.reports).await?;
-        let (events_tx, mut events) = mpsc::channel(EVENTS);
+        let (events_tx, mut events) = mpsc::channel(EVENT_CAPACITY);
         let copies = ready::bind(self.cfg.reports).await?;
         tokio::spawn(copies::serve(copies, events_tx.clone()));
-        self.follow_tables(&events_tx);
-        if self.is_held() {
+        self.start_polling(&events_tx);
+        if self.awaits_copies() {
             // The store has no rows of the product yet.
             self.register(&events_tx);
         }
@@ -267,14 +267,14 @@
         loop {
             tokio::select! {
                 seen = self.seen.recv() => match seen {
-                    Some(seen) => self.account(&socket, &seen),
+                    Some(seen) => self.report_traffic(&socket, &seen),
                     None => return Ok(()),
                 },
-                Some(event) = events.recv() => self.take(&socket, &events_tx, event),
-                Some(event) = self.trial_events.recv() => self.trial_event(&socket, event),
-                Some(ask) = self.cold_asks.recv() => self.cold_asked(&socket, ask),
+                Some(event) = events.recv() => self.on_event(&socket, &events_tx, event),
+                Some(event) = self.trial_events.recv() => self.on_trial_event(&socket, event),
+                Some(ask) = self.cold_asks.recv() => self.on_cold_ask(&socket, ask),
                 Ok((len, from)) = socket.recv_from(&mut buf) => {
-                    self.datagram_came(&socket, &events_tx, &buf[..len], from);
+                    self.on_datagram(&socket, &events_tx, &buf[..len], from);
                 }
                 _ = self.signals.terminate.recv() => self.stop(),
                 _ = self.signals.hang_up.recv() => self.reload(),
@@ -285,89 +285,96 @@
                 due = not_before;
                 continue;
             }
-            self.work(&events_tx);
+            self.run_due(&events_tx);
             self.step_trials(&socket);
-            let ranges = self.cluster.ranges() / RANGES_A_MS;
+            let ranges = self.cluster.ranges() / RANGES_PER_MS;
             not_before = now + Duration::from_millis(ranges as u64);
-            due = now + self.tick();
+            due = now + self.tick_period();
         }
     }
 
     /// Time until the next look at what is due, unless something comes before.
-    fn tick(&self) -> Duration {
+    fn tick_period(&self) -> Duration {
         if self.trials.is_waiting() {
             return Duration::from_millis(trials::RESEND_MS);
         }
-        if self.duty.in_office() {
+        if self.leadership.is_leader() {
             return LEADER_TICK;
         }
         TICK
     }
 
-    fn take(&mut self, socket: &UdpSocket, events: &mpsc::Sender<Event>, event: Event) {
+    fn on_event(&mut self, socket: &UdpSocket, events: &mpsc::Sender<Event>, event: Event) {
         let now = clock::mono();
         match event {
-            Event::Store { table, news, asked } => {
+            Event::Store {
+                table,
+                update,
+                sent_at,
+            } => {
                 self.metrics
-                    .count_poll(table, matches!(news, News::Lost(_)));
-                let whole = matches!(news, News::Loaded { .. });
-                match &news {
-                    News::Changed { relay, .. } => self.pass_on(now, socket, relay),
-                    News::Loaded { rows, version, .. } if self.duty.in_office() => {
-                        let relay = self.cluster.changes_by(table, rows, *version);
-                        self.pass_on(now, socket, &relay);
+                    .polled(table, matches!(update, TableUpdate::Lost(_)));
+                let whole = matches!(update, TableUpdate::Loaded { .. });
+                match &update {
+                    TableUpdate::Changed { relay, .. } => self.relay_rows(now, socket, relay),
+                    TableUpdate::Loaded { rows, version, .. } if self.leadership.is_leader() => {
+                        let relay = self.cluster.changes_from_list(table, rows, *version);
+                        self.relay_rows(now, socket, &relay);
                     }
-                    News::Loaded { .. } | News::Lost(_) => {}
+                    TableUpdate::Loaded { .. } | TableUpdate::Lost(_) => {}
                 }
-                if self.cluster.news(now, table, news) == StoreSight::Regained {
-                    self.ask_all();
+                if self.cluster.apply_update(now, table, update) == StoreStatus::Regained {
+                    self.retry_lost_tables();
                 }
                 if table == Table::Own {
-                    if self.duty.rows_seen(now, asked, &self.cluster, whole) {
-                        self.read_own_rows_anew();
+                    if self
+                        .leadership
+                        .take_store_rows(now, sent_at, &self.cluster, whole)
+                    {
+                        self.reload_own_rows();
                     }
                     self.register(events);
                 }
             }
-            Event::Ordered { order, result } => {
-                self.metrics.count_order(&order.kind, &result);
-                self.duty.ordered(now, &order, &result);
+            Event::OrderDone { order, result } => {
+                self.metrics.ordered(&order.kind, &result);
+                self.leadership.order_done(now, &order, &result);
             }
-            Event::Wrote { service, result } => {
+            Event::WriteDone { service, result } => {
                 if let WriteResult::Done(row, version) = &result {
-                    self.pass_on_written(now, socket, &service, row, *version);
+                    self.relay_write(now, socket, &service, row, *version);
                 }
-                self.duty.wrote(now, &service, result);
+                self.leadership.write_done(now, &service, result);
             }
-            Event::Claimed => {
-                self.duty.claim_ended();
+            Event::ClaimDone => {
+                self.leadership.claim_done();
                 // One that rests has nobody yet who would pass the row on.
-                self.follow(Table::Own).refresh.notify_one();
+                self.poll_control(Table::Own).refresh.notify_one();
             }
             Event::CrashesWritten { done } => self.crashes_written(now, done),
             Event::Registered => {
-                self.listed = Listed::Stands;
+                self.registration = Registration::Done;
                 log::info!("instance is listed in the store");
             }
-            Event::CopyAsked {
+            Event::CopyRequested {
                 table,
                 after,
                 reply,
-            } => self.give_copy(table, after, reply),
-            Event::Copied { table, copy } => self.copied(now, table, copy),
+            } => self.send_copy(table, after, reply),
+            Event::CopyDone { table, copy } => self.copy_done(now, table, copy),
         }
     }
 
     /// Does what is due.
-    fn work(&mut self, events: &mpsc::Sender<Event>) {
+    fn run_due(&mut self, events: &mpsc::Sender<Event>) {
         let now = clock::mono();
         self.cluster.expire(now);
-        self.end_first_wait(now);
-        let due = self.duty.step(now, &mut self.cluster, self.stopping);
-        for (_, follow) in &self.follows {
-            follow.wait_ms.store(due.wait_ms, Ordering::Relaxed);
+        self.end_copy_wait(now);
+        let due = self.leadership.step(now, &mut self.cluster, self.stopping);
+        for (_, control) in &self.polls {
+            control.wait_ms.store(due.wait_ms, Ordering::Relaxed);
         }
-        self.rest_or_poll(now);
+        self.update_polling(now);
         for order in due.orders {
             self.orders.start(order, events.clone());
         }
@@ -379,7 +386,7 @@
                 let result = write_row(address, &write).await;
                 let service = write.service;
                 // Nobody is left to be told when the process ends.
-                let _ = events.send(Event::Wrote { service, result }).await;
+                let _ = events.send(Event::WriteDone { service, result }).await;
             });
         }
         if let Some(claim) = due.claim {
@@ -390,23 +397,23 @@
                     Ok(version) => log::info!(version = version.0; "leader row written"),
                     Err(e) => log::info!(cause = e.to_string(); "leader row not written"),
                 }
-                let _ = events.send(Event::Claimed).await;
+                let _ = events.send(Event::ClaimDone).await;
             });
         }
         self.step_crashes(now, events);
         self.step_cold(now);
-        let (zones, ranges) = self.cluster.left_in_evacuated_zones();
-        self.metrics.set_evacuated(zones, ranges);
+        let (zones, ranges) = self.cluster.count_evacuated();
+        self.metrics.evacuated(zones, ranges);
         for (source, count) in self.cluster.unusable.take_counts() {
             self.metrics.count_unusable(source, count);
         }
         if self.cluster.take_changed() {
             self.publish(now);
         }
-        self.refresh_stale(now, events);
+        self.refresh_stale_tables(now, events);
         // Failure: it takes callers, is killed before it is listed, starts again while the
         // store is silent, and nobody knows that there is one to be told of the rows.
-        let known = self.listed == Listed::Stands || self.cluster.store_lost();
+        let known = self.registration == Registration::Done || self.cluster.store_lost();
         let ready = !self.stopping && known && self.cluster.is_ready(now);
         if self.ready.set(ready) {
             log::info!(ready; "readiness changed");
@@ -446,7 +453,7 @@
     }
 }
 
-async fn write_row(address: std::net::SocketAddr, write: &duty::RowWrite) -> WriteResult {
+async fn write_row(address: std::net::SocketAddr, write: &duty::AssignmentWrite) -> WriteResult {
     match Store::new(address).change(&write.change).await {
         Ok(version) => WriteResult::Done(write.row.clone(), version),
         Err(StoreError::Refused(StoreRefusal::Conflict)) => WriteResult::Conflict,
--- a/crates/citronway/src/gateway/control/orders.rs
+++ b/crates/citronway/src/gateway/control/orders.rs
@@ -23,55 +23,55 @@
 impl OrderClient {
     /// Starts an order; its result comes as an event.
     pub(super) fn start(&self, order: Order, events: mpsc::Sender<Event>) {
-        let admission = self.clone();
+        let client = self.clone();
         tokio::task::spawn_local(async move {
-            let result = admission.carry_out(&order).await;
+            let result = client.execute(&order).await;
             log_result(&order, &result);
             // Nobody is left to be told when the process ends.
-            let _ = events.send(Event::Ordered { order, result }).await;
+            let _ = events.send(Event::OrderDone { order, result }).await;
         });
     }
 
-    async fn carry_out(&self, order: &Order) -> OrderResult {
+    async fn execute(&self, order: &Order) -> OrderResult {
         // Failure: this thread is busy and starts the call long after it was decided. Its
         // leader counts from the decision, and gives the keys on before the hold ends.
         let left_ms = order.deadline.since(clock::mono());
         if left_ms == 0 {
             return OrderResult::TooLate;
         }
-        let limit = Duration::from_millis(left_ms);
-        match tokio::time::timeout(limit, self.call(order, limit)).await {
+        let timeout = Duration::from_millis(left_ms);
+        match tokio::time::timeout(timeout, self.call(order, timeout)).await {
             Ok(Ok(result)) => result,
             Ok(Err(e)) if e.is_unsent() => OrderResult::NotSent,
             Ok(Err(_)) | Err(_) => OrderResult::Lost,
         }
     }
 
-    async fn call(&self, order: &Order, limit: Duration) -> Result<OrderResult, CallError> {
+    async fn call(&self, order: &Order, timeout: Duration) -> Result<OrderResult, CallError> {
         let Ok(req) = orders::request(order) else {
             return Err(CallError::NotSent);
         };
-        let mut link = match self.take(order) {
+        let mut link = match self.take_link(order) {
             Some(link) => link,
             None if clock::mono() >= order.connect_by => return Ok(OrderResult::NotConnected),
             None => Link::open(order.address, ConnectMode::ImmediateWithReset).await?,
         };
         if link.opened() >= order.connect_by {
-            self.keep(order.address, link);
+            self.return_link(order.address, link);
             return Ok(OrderResult::NotConnected);
         }
-        let answer = link.call(req, limit).await?;
-        self.keep(order.address, link);
+        let answer = link.call(req, timeout).await?;
+        self.return_link(order.address, link);
         Ok(orders::result(answer.status, &answer.headers))
     }
 
-    fn keep(&self, address: SocketAddr, link: Link) {
+    fn return_link(&self, address: SocketAddr, link: Link) {
         let mut links = self.links.borrow_mut();
         links.entry(address).or_default().push(link);
     }
 
     /// Takes a connection that may carry the order.
-    fn take(&self, order: &Order) -> Option<Link> {
+    fn take_link(&self, order: &Order) -> Option<Link> {
         let mut links = self.links.borrow_mut();
         let kept = links.get_mut(&order.address)?;
         kept.retain(|link| !link.is_closed());
--- a/crates/citronway/src/gateway/control/own_rows.rs
+++ b/crates/citronway/src/gateway/control/own_rows.rs
@@ -23,7 +23,7 @@
 pub(super) const CRASHES_KEY: &str = "crashes";
 
 /// Keys of assignments begin so; the service follows.
-const KEYS_PREFIX: &str = "keys/";
+const ASSIGNMENT_PREFIX: &str = "keys/";
 
 /// Keys of the instances' rows begin so; the name follows.
 const INSTANCE_PREFIX: &str = "instance/";
@@ -37,47 +37,52 @@
 }
 
 impl Cluster {
-    pub(super) fn own_rows(&mut self, now: Mono, rows: &[Row]) {
+    pub(super) fn apply_own_rows(&mut self, now: Mono, rows: &[Row]) {
         for row in rows {
             let key = row.key.as_str();
             if key == CRASHES_KEY {
-                self.crashes_row(now, row);
+                self.apply_crashes_row(now, row);
                 continue;
             }
             let Some(value) = &row.value else { continue };
-            let taken = if key == LEADER_KEY {
-                self.leader_row(now, row.version, value)
-            } else if let Some(service) = key.strip_prefix(KEYS_PREFIX) {
-                self.assignment_row(&ServiceName::new(service), row.version, value)
+            let applied = if key == LEADER_KEY {
+                self.apply_leader_row(now, row.version, value)
+            } else if let Some(service) = key.strip_prefix(ASSIGNMENT_PREFIX) {
+                self.apply_assignment_row(&ServiceName::new(service), row.version, value)
             } else if let Some(name) = key.strip_prefix(INSTANCE_PREFIX) {
-                self.instance_row(&InstanceName::new(name), value)
+                self.apply_instance_row(&InstanceName::new(name), value)
             } else {
                 Ok(())
             };
-            match taken {
-                Ok(()) => self.unusable.settled(Source::OwnRow, key),
-                Err(e) => self.unusable.refused(Source::OwnRow, key, e.to_string()),
+            match applied {
+                Ok(()) => self.unusable.clear(Source::OwnRow, key),
+                Err(e) => self.unusable.record_row(Source::OwnRow, key, e.to_string()),
             }
         }
     }
 
-    fn crashes_row(&mut self, now: Mono, row: &Row) {
-        match self.crashes.row_seen(now, row) {
-            Ok(()) => self.unusable.settled(Source::OwnRow, CRASHES_KEY),
+    fn apply_crashes_row(&mut self, now: Mono, row: &Row) {
+        match self.crashes.apply_row(now, row) {
+            Ok(()) => self.unusable.clear(Source::OwnRow, CRASHES_KEY),
             Err(e) => {
                 let cause = e.to_string();
-                self.unusable.refused(Source::OwnRow, CRASHES_KEY, cause);
+                self.unusable.record_row(Source::OwnRow, CRASHES_KEY, cause);
             }
         }
     }
 
-    fn instance_row(&mut self, name: &InstanceName, value: &[u8]) -> Result<(), RowError> {
+    fn apply_instance_row(&mut self, name: &InstanceName, value: &[u8]) -> Result<(), RowError> {
         let row = serde_json::from_slice::<InstanceRow>(value)?;
-        self.peers.row_seen(name, row);
+        self.peers.set_row(name, row);
         Ok(())
     }
 
-    fn leader_row(&mut self, now: Mono, version: Version, value: &[u8]) -> Result<(), RowError> {
+    fn apply_leader_row(
+        &mut self,
+        now: Mono,
+        version: Version,
+        value: &[u8],
+    ) -> Result<(), RowError> {
         let stored = serde_json::from_slice::<StoredLeader>(value)?;
         if self
             .leader
@@ -105,7 +110,7 @@
         Ok(())
     }
 
-    fn assignment_row(
+    fn apply_assignment_row(
         &mut self,
         service: &ServiceName,
         version: Version,
@@ -114,12 +119,12 @@
         let assignment = Assignment::from_bytes(value)?;
         let known = self.owners.get(service);
         if known.is_none_or(|known| known.version < version) {
-            self.owners_known(service, version, assignment);
+            self.set_owners(service, version, assignment);
         }
         Ok(())
     }
 
-    fn owners_known(&mut self, service: &ServiceName, version: Version, assignment: Assignment) {
+    fn set_owners(&mut self, service: &ServiceName, version: Version, assignment: Assignment) {
         let moving = assignment
             .ranges
             .iter()
@@ -141,10 +146,10 @@
             ..relay.clone()
         };
         for row in &relay.rows {
-            if self.knows(row) {
+            if self.is_known_assignment(row) {
                 continue;
             }
-            match self.patch(row) {
+            match self.patch_for(row) {
                 Some(patch) => slim.patches.push(patch),
                 None => slim.rows.push(row.clone()),
             }
@@ -154,14 +159,17 @@
 
     /// Whether a row is an assignment that is known already, and was passed on when it was
     /// written.
-    fn knows(&self, row: &Row) -> bool {
-        let service = row.key.strip_prefix(KEYS_PREFIX).map(ServiceName::new);
+    fn is_known_assignment(&self, row: &Row) -> bool {
+        let service = row
+            .key
+            .strip_prefix(ASSIGNMENT_PREFIX)
+            .map(ServiceName::new);
         let known = service.and_then(|service| self.owners.get(&service));
         known.is_some_and(|known| known.version >= row.version)
     }
 
     /// An assignment that was just written, as a relay; none if it cannot be written down.
-    pub(super) fn written(
+    pub(super) fn relay_of_write(
         &self,
         service: &ServiceName,
         row: &Assignment,
@@ -185,8 +193,8 @@
         })
     }
 
-    fn patch(&self, row: &Row) -> Option<Patch> {
-        let service = ServiceName::new(row.key.strip_prefix(KEYS_PREFIX)?);
+    fn patch_for(&self, row: &Row) -> Option<Patch> {
+        let service = ServiceName::new(row.key.strip_prefix(ASSIGNMENT_PREFIX)?);
         let value = row.value.as_deref()?;
         let known = self.owners.get(&service)?;
         if known.version >= row.version {
@@ -206,18 +214,18 @@
     /// Whether the rows that a relay changes are known as they were before.
     pub(super) fn can_patch(&self, relay: &Relay) -> bool {
         relay.patches.iter().all(|patch| {
-            let known = self.patched_row(patch).map(|known| known.version);
+            let known = self.row_to_patch(patch).map(|known| known.version);
             known.is_some_and(|known| known == patch.before || known >= patch.version)
         })
     }
 
-    fn patched_row(&self, patch: &Patch) -> Option<&Owners> {
-        let service = patch.key.strip_prefix(KEYS_PREFIX)?;
+    fn row_to_patch(&self, patch: &Patch) -> Option<&Owners> {
+        let service = patch.key.strip_prefix(ASSIGNMENT_PREFIX)?;
         self.owners.get(&ServiceName::new(service))
     }
 
-    pub(super) fn patched(&mut self, patch: &Patch) {
-        let Some(known) = self.patched_row(patch) else {
+    pub(super) fn apply_patch(&mut self, patch: &Patch) {
+        let Some(known) = self.row_to_patch(patch) else {
             return;
         };
         if known.version != patch.before {
@@ -225,21 +233,21 @@
         }
         match known.assignment.with_changes(&patch.change) {
             Ok(assignment) => {
-                let service = ServiceName::new(patch.key.trim_start_matches(KEYS_PREFIX));
-                self.owners_known(&service, patch.version, assignment);
-                self.own.has_seen(patch.version.0);
+                let service = ServiceName::new(patch.key.trim_start_matches(ASSIGNMENT_PREFIX));
+                self.set_owners(&service, patch.version, assignment);
+                self.own.observe_version(patch.version.0);
                 self.changed = true;
             }
             Err(e) => self
                 .unusable
-                .refused(Source::OwnRow, &patch.key, e.to_string()),
+                .record_row(Source::OwnRow, &patch.key, e.to_string()),
         }
     }
 }
 
 /// Whether a key of any table is that of an assignment.
 pub(super) fn is_assignment(key: &str) -> bool {
-    key.starts_with(KEYS_PREFIX)
+    key.starts_with(ASSIGNMENT_PREFIX)
 }
 
 /// Whether a key of the own table is that of an instance's row.
@@ -248,7 +256,7 @@
 }
 
 /// Whether the version of a row of the own table tells that rows before it were missed.
-pub(super) fn is_chained(key: &str) -> bool {
+pub(super) fn is_sequenced(key: &str) -> bool {
     !is_instance(key) && key != LEADER_KEY
 }
 
@@ -276,7 +284,7 @@
 
 /// Key of a service's assignment.
 pub(super) fn assignment_key(service: &ServiceName) -> String {
-    format!("{KEYS_PREFIX}{service}")
+    format!("{ASSIGNMENT_PREFIX}{service}")
 }
 
 /// Stored form of a leader's row.
--- a/crates/citronway/src/gateway/control/peers.rs
+++ b/crates/citronway/src/gateway/control/peers.rs
@@ -23,11 +23,11 @@
 
 /// Silence after which what an instance has in flight no longer counts where delegates sum
 /// it up, in milliseconds: three reports of a member. Its next delegate counts it too.
-const SUMMED_MS: u64 = 600;
+const LOAD_STALE_MS: u64 = 600;
 
 /// Silence of the leader after which its rows are no longer waited for, in
 /// milliseconds: six reports.
-const QUIET_MS: u64 = 600;
+const LEADER_SILENT_MS: u64 = 600;
 
 /// An instance of which a row or a report was seen.
 #[derive(Debug)]
@@ -36,8 +36,8 @@
     zone: Option<ZoneName>,
     sight: Option<PeerState>,
     /// When a report of its own came.
-    direct: Option<Mono>,
-    number: u64,
+    direct_at: Option<Mono>,
+    report_number: u64,
     seen: Versions,
     endpoints: Vec<EndpointUse>,
 }
@@ -54,20 +54,20 @@
 
 impl Peers {
     /// Takes the row of an instance.
-    pub(super) fn row_seen(&mut self, instance: &InstanceName, row: InstanceRow) {
+    pub(super) fn set_row(&mut self, instance: &InstanceName, row: InstanceRow) {
         let peer = self.entry(instance);
         peer.address = Some(row.address);
         peer.zone = Some(row.zone);
     }
 
     /// Whether this start of an instance was heard of.
-    pub(super) fn knows(&self, instance: &InstanceName, session: SessionId) -> bool {
+    pub(super) fn knows_session(&self, instance: &InstanceName, session: SessionId) -> bool {
         let sight = self.all.get(instance).and_then(|peer| peer.sight.as_ref());
         sight.is_some_and(|sight| sight.session == session)
     }
 
     /// Takes a report that came from an address; false if a newer one was taken before.
-    pub(super) fn report(&mut self, now: Mono, report: &Report, from: SocketAddr) -> bool {
+    pub(super) fn record_report(&mut self, now: Mono, report: &Report, from: SocketAddr) -> bool {
         let peer = self.entry(&report.instance);
         // Instances send from the address at which they listen. Whoever starts while the
         // store is silent has read no rows and knows the others by this alone.
@@ -76,14 +76,14 @@
             .sight
             .as_ref()
             .is_some_and(|sight| sight.session == report.session);
-        if same && report.number <= peer.number {
+        if same && report.number <= peer.report_number {
             return false;
         }
-        peer.number = report.number;
+        peer.report_number = report.number;
         peer.seen = report.seen;
-        peer.direct = Some(now);
+        peer.direct_at = Some(now);
         peer.endpoints.clone_from(&report.endpoints);
-        peer.see(PeerState {
+        peer.update_sight(PeerSight {
             instance: report.instance.clone(),
             session: report.session,
             heard: now,
@@ -94,16 +94,16 @@
             strength: report.strength,
         });
         for member in &report.members {
-            self.member_heard(now, member);
+            self.record_member(now, member);
         }
         true
     }
 
     /// Takes what a delegate says of one of its members.
-    fn member_heard(&mut self, now: Mono, member: &MemberState) {
+    fn record_member(&mut self, now: Mono, member: &MemberState) {
         let heard = now.minus(u64::from(member.heard_ago_ms));
         let peer = self.entry(&member.instance);
-        if peer.direct.is_none_or(|at| at < heard) {
+        if peer.direct_at.is_none_or(|at| at < heard) {
             // Its delegate counts what it has in flight.
             peer.endpoints.clear();
         }
@@ -114,7 +114,7 @@
         {
             return;
         }
-        peer.see(PeerState {
+        peer.update_sight(PeerSight {
             instance: member.instance.clone(),
             session: member.session,
             heard,
@@ -127,10 +127,10 @@
     }
 
     /// Takes what the leader's sums say of the leader itself.
-    pub(super) fn leader_heard(&mut self, now: Mono, totals: &Totals) {
+    pub(super) fn record_leader(&mut self, now: Mono, totals: &Totals) {
         let peer = self.entry(&totals.leader.instance);
         peer.seen = totals.seen;
-        peer.see(PeerState {
+        peer.update_sight(PeerSight {
             instance: totals.leader.instance.clone(),
             session: totals.leader.id,
             heard: now,
@@ -147,15 +147,15 @@
             address: None,
             zone: None,
             sight: None,
-            direct: None,
-            number: 0,
+            direct_at: None,
+            report_number: 0,
             seen: Versions::default(),
             endpoints: Vec::new(),
         })
     }
 
     /// Takes the sums of a leader; older ones are ignored.
-    pub(super) fn totals(&mut self, now: Mono, totals: Totals) {
+    pub(super) fn set_totals(&mut self, now: Mono, totals: Totals) {
         let newest = self.totals.as_ref().map(|(t, _)| (t.term, t.number));
         if newest.is_none_or(|newest| newest < (totals.term, totals.number)) {
             self.fleet.update(now, totals.instances);
@@ -172,7 +172,10 @@
     /// Requests in flight and waiting of all other instances, by endpoint.
     pub(super) fn sums(&self, now: Mono) -> IndexMap<EndpointTag, EndpointTotal> {
         let mut sums = IndexMap::<_, EndpointTotal>::new();
-        for used in self.summed(now).flat_map(|(_, peer)| &peer.endpoints) {
+        for used in self
+            .load_reporters(now)
+            .flat_map(|(_, peer)| &peer.endpoints)
+        {
             let sum = sums.entry(used.tag).or_default();
             sum.tag = used.tag;
             sum.in_flight += used.in_flight;
@@ -192,13 +195,13 @@
     }
 
     /// Instances that are listed, this one included.
-    pub(super) fn listed(&self) -> usize {
+    pub(super) fn listed_count(&self) -> usize {
         self.all.len() + 1
     }
 
     /// Whether there are too many instances for all to tell all, as far as is known here.
-    pub(super) fn are_many(&self, now: Mono) -> bool {
-        self.listed() > MAX_LISTED_FULL_MESH || self.fresh_totals(now).is_some()
+    pub(super) fn is_large_fleet(&self, now: Mono) -> bool {
+        self.listed_count() > MOST_LISTED_TELL_ALL || self.fresh_totals(now).is_some()
     }
 
     /// All instances that can be told of the sums.
@@ -210,7 +213,7 @@
                 address: peer.address?,
                 zone: peer.zone.as_ref()?,
                 heard: sight.map(|sight| sight.heard),
-                heard_directly: peer.direct,
+                heard_directly: peer.direct_at,
                 strength: sight.map_or(Strength::default(), |sight| sight.strength),
                 is_staying: sight.is_some_and(|sight| !sight.stopping),
             })
@@ -220,8 +223,10 @@
 
     /// Members of this delegate, as the leader wants to know them.
     pub(super) fn members(&self, now: Mono) -> Vec<MemberState> {
-        let members = self.reporting(now).filter_map(|peer| peer.sight.as_ref());
-        let state = |sight: &PeerState| MemberState {
+        let members = self
+            .direct_reporters(now)
+            .filter_map(|peer| peer.sight.as_ref());
+        let state = |sight: &PeerSight| MemberState {
             instance: sight.instance.clone(),
             session: sight.session,
             heard_ago_ms: u16::try_from(now.since(sight.heard)).unwrap_or(u16::MAX),
@@ -235,14 +240,17 @@
 
     /// What the members of this delegate have at endpoints or want to send there.
     pub(super) fn members_use(&self, now: Mono) -> impl Iterator<Item = (EndpointTag, u32, u32)> {
-        let uses = self.reporting(now).flat_map(|peer| &peer.endpoints);
+        let uses = self.direct_reporters(now).flat_map(|peer| &peer.endpoints);
         uses.map(|used| (used.tag, used.in_flight, used.waiting))
     }
 
     /// Instances that report to this one.
-    fn reporting(&self, now: Mono) -> impl Iterator<Item = &Peer> {
+    fn direct_reporters(&self, now: Mono) -> impl Iterator<Item = &Peer> {
         let all = self.all.values();
-        all.filter(move |peer| peer.direct.is_some_and(|at| now.since(at) < SUMMED_MS))
+        all.filter(move |peer| {
+            peer.direct_at
+                .is_some_and(|at| now.since(at) < LOAD_STALE_MS)
+        })
     }
 
     /// Where an instance takes reports.
@@ -259,7 +267,7 @@
     }
 
     /// Other instances that are heard.
-    pub(super) fn heard(&self, now: Mono) -> usize {
+    pub(super) fn heard_count(&self, now: Mono) -> usize {
         self.fresh(now).count()
     }
 
@@ -267,20 +275,20 @@
     ///
     /// Failure: the leader is lost, and each of hundreds takes itself for one of few and
     /// uses up second sends that all share. So the last number that was told holds on.
-    pub(super) fn instances(&self, now: Mono) -> usize {
-        let heard = self.heard(now) + 1;
+    pub(super) fn instance_count(&self, now: Mono) -> usize {
+        let heard = self.heard_count(now) + 1;
         let told = self.fleet.count() as usize;
         if told > 0 {
             return told.max(heard);
         }
-        if self.are_many(now) {
+        if self.is_large_fleet(now) {
             return self.all.len().max(heard);
         }
         heard
     }
 
     /// Whether a leader ever told sums.
-    pub(super) const fn was_told(&self) -> bool {
+    pub(super) const fn has_totals(&self) -> bool {
         self.totals.is_some()
     }
 
@@ -316,7 +324,7 @@
     }
 
     /// Whether the leader that the row names is heard and reaches the store.
-    pub(super) fn passes_rows(&self, now: Mono, leader: &LeaderRow) -> bool {
+    pub(super) fn leader_relays_rows(&self, now: Mono, leader: &LeaderRow) -> bool {
         let sight = self.leader_sight(now, leader);
         sight.is_some_and(|sight| !sight.unfit && !sight.stopping && sight.term <= leader.term)
     }
@@ -329,14 +337,17 @@
     fn leader_sight(&self, now: Mono, leader: &LeaderRow) -> Option<&PeerState> {
         let peer = self.all.get(&leader.instance)?;
         let sight = peer.sight.as_ref()?;
-        let heard = now.since(sight.heard) < QUIET_MS;
+        let heard = now.since(sight.heard) < LEADER_SILENT_MS;
         (heard && sight.session == leader.session).then_some(sight)
     }
 
     /// Requests of others that wait for each endpoint.
     pub(super) fn waiting(&self, now: Mono) -> IndexMap<EndpointTag, u32> {
         let mut waiting = IndexMap::new();
-        for used in self.summed(now).flat_map(|(_, peer)| &peer.endpoints) {
+        for used in self
+            .load_reporters(now)
+            .flat_map(|(_, peer)| &peer.endpoints)
+        {
             *waiting.entry(used.tag).or_default() += used.waiting;
         }
         waiting
@@ -349,9 +360,9 @@
         now: Mono,
         paces: &EndpointPaces,
         own: &IndexMap<EndpointTag, EndpointUse>,
-    ) -> IndexMap<EndpointTag, ReportedLoad> {
-        let mut all = IndexMap::<EndpointTag, ReportedLoad>::new();
-        for (instance, peer) in self.summed(now) {
+    ) -> IndexMap<EndpointTag, Standing> {
+        let mut all = IndexMap::<EndpointTag, Standing>::new();
+        for (instance, peer) in self.load_reporters(now) {
             let rank = rank_of(instance);
             for used in &peer.endpoints {
                 let wanted = used.in_flight + used.waiting;
@@ -382,7 +393,7 @@
     }
 
     fn fresh(&self, now: Mono) -> impl Iterator<Item = (&InstanceName, &Peer)> {
-        let stale_ms = if self.are_many(now) {
+        let stale_ms = if self.is_large_fleet(now) {
             STALE_THROUGH_DELEGATE_MS
         } else {
             STALE_MS
@@ -395,22 +406,22 @@
     }
 
     /// Instances whose reports count for the load of endpoints.
-    fn summed(&self, now: Mono) -> impl Iterator<Item = (&InstanceName, &Peer)> {
-        let stale_ms = if self.are_many(now) {
-            SUMMED_MS
+    fn load_reporters(&self, now: Mono) -> impl Iterator<Item = (&InstanceName, &Peer)> {
+        let stale_ms = if self.is_large_fleet(now) {
+            LOAD_STALE_MS
         } else {
             STALE_MS
         };
         self.all
             .iter()
-            .filter(move |(_, peer)| peer.direct.is_some_and(|at| now.since(at) < stale_ms))
+            .filter(move |(_, peer)| peer.direct_at.is_some_and(|at| now.since(at) < stale_ms))
     }
 }
 
 impl Peer {
     /// Takes what is newer than what was known; keeps since when it has been so.
-    fn see(&mut self, newer: PeerState) {
-        let unchanged = |sight: &&PeerState| {
+    fn update_sight(&mut self, newer: PeerSight) {
+        let unchanged = |sight: &&PeerSight| {
             sight.session == newer.session
                 && sight.stopping == newer.stopping
                 && sight.unfit == newer.unfit
--- a/crates/citronway/src/gateway/control/placing.rs
+++ b/crates/citronway/src/gateway/control/placing.rs
@@ -13,7 +13,7 @@
 use super::cluster::Cluster;
 
 /// Time between two looks at the placement, in milliseconds: as often as reports come.
-const PLACE_MS: u64 = 100;
+const PLACE_INTERVAL_MS: u64 = 100;
 
 /// The same after moves have begun: these show in the queues first.
 const AFTER_MOVES_MS: u64 = 300;
@@ -28,38 +28,38 @@
 
 /// How long the first endpoint of a service is listed before its keys are divided,
 /// in milliseconds: others that start with it list themselves meanwhile.
-const FOUND_AFTER_MS: u64 = 1_200;
+const FIRST_DIVISION_AFTER_MS: u64 = 1_200;
 
 /// Time of work that is assumed until answers show it, in milliseconds.
-const FIRST_WORK_MS: f64 = 200.0;
+const DEFAULT_WORK_MS: f64 = 200.0;
 
 /// Largest share of failures that an endpoint's capacity is reduced by; some of its
 /// requests still have to show whether it is well again.
-const MOST_FAILING: f64 = 0.9;
+const MAX_FAILURE_SHARE: f64 = 0.9;
 
 /// What the placement of all services rests on.
 #[derive(Debug, Default)]
-pub(super) struct Placing {
+pub(super) struct Placer {
     loads: IndexMap<ServiceName, KeyLoads>,
     work_ms: IndexMap<ServiceName, f64>,
-    after: Mono,
+    next_at: Mono,
 }
 
-impl Placing {
+impl Placer {
     /// Begins without knowledge of loads, as a new leader does.
-    pub(super) fn begin(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.loads.clear();
     }
 
     /// Takes the usual time of work at each service, in milliseconds.
-    pub(super) fn work_seen(&mut self, work_ms: &[(ServiceName, f64)]) {
+    pub(super) fn set_work_ms(&mut self, work_ms: &[(ServiceName, f64)]) {
         for (service, ms) in work_ms {
             self.work_ms.insert(service.clone(), *ms);
         }
     }
 
     /// Takes the keys that an instance was asked for.
-    pub(super) fn traffic_seen(&mut self, now: Mono, report: &Report) {
+    pub(super) fn record_traffic(&mut self, now: Mono, report: &Report) {
         for samples in &report.keys {
             let loads = self
                 .loads
@@ -78,14 +78,14 @@
         cluster: &Cluster,
         leaders: &mut IndexMap<ServiceName, Leader>,
     ) {
-        if now < self.after {
+        if now < self.next_at {
             return;
         }
-        self.after = now.plus(PLACE_MS);
+        self.next_at = now.plus(PLACE_INTERVAL_MS);
         for (service, leader) in leaders {
             leader.forget_absent(&cluster.registry);
             if leader.row().ranges.is_empty() {
-                found(now, cluster, service, leader);
+                divide_first(now, cluster, service, leader);
             } else if !leader.is_cut_off(now) {
                 self.move_keys(now, cluster, service, leader);
             }
@@ -99,8 +99,12 @@
         service: &ServiceName,
         leader: &mut Leader,
     ) {
-        let work_ms = self.work_ms.get(service).copied().unwrap_or(FIRST_WORK_MS);
-        let listed = cluster.registry.of_service(service);
+        let work_ms = self
+            .work_ms
+            .get(service)
+            .copied()
+            .unwrap_or(DEFAULT_WORK_MS);
+        let listed = cluster.registry.of(service);
         let waiting = cluster.waiting(now);
         let queues = |tag, slots| waiting.get(&tag).is_some_and(|count| *count > slots);
         let places: Vec<_> = listed
@@ -123,7 +127,7 @@
         if moves.is_empty() {
             return;
         }
-        self.after = now.plus(AFTER_MOVES_MS);
+        self.next_at = now.plus(AFTER_MOVES_MS);
         log::info!(service = service.as_str(), moves = moves.len(); "moves begin");
         let left_out = leader.start_moves(&moves, &cluster.registry);
         if left_out > 0 {
@@ -138,10 +142,10 @@
 }
 
 /// Divides the keys of a service for the first time.
-fn found(now: Mono, cluster: &Cluster, service: &ServiceName, leader: &mut Leader) {
-    let listed: Vec<_> = cluster.registry.of_service(service).collect();
+fn divide_first(now: Mono, cluster: &Cluster, service: &ServiceName, leader: &mut Leader) {
+    let listed: Vec<_> = cluster.registry.of(service).collect();
     let first = listed.iter().map(|known| known.first_seen).min();
-    if first.is_none_or(|at| now.since(at) < FOUND_AFTER_MS) {
+    if first.is_none_or(|at| now.since(at) < FIRST_DIVISION_AFTER_MS) {
         return;
     }
     let usable = listed.iter().filter(|known| known.accepts_work());
@@ -160,7 +164,7 @@
 ) -> PlacementEndpoint {
     let listing = &known.listing;
     let tag = EndpointTag::of(&listing.start);
-    let healthy = 1.0 - cluster.paces.failing(now, tag).min(MOST_FAILING);
+    let healthy = 1.0 - cluster.paces.failing(now, tag).min(MAX_FAILURE_SHARE);
     let lost = leader.is_lost(now, &listing.start);
     let taken_ms = work_ms * cluster.paces.slowness(now, tag);
     PlacementEndpoint {
--- a/crates/citronway/src/gateway/control/reporting.rs
+++ b/crates/citronway/src/gateway/control/reporting.rs
@@ -20,48 +20,53 @@
 /// Of how many looks at the traffic one is reported: by a delegate, by a member, and by one
 /// to whom nobody passes sums on. Hot ranges are cut up by what the leader hears, and their
 /// callers queue meanwhile.
-const DELEGATE_LOOKS: u64 = 1;
-const MEMBER_LOOKS: u64 = 2;
-const ALONE_LOOKS: u64 = 6;
+const DELEGATE_REPORT_EVERY: u64 = 1;
+const MEMBER_REPORT_EVERY: u64 = 2;
+const ALONE_REPORT_EVERY: u64 = 6;
 
 /// Turns in which the estimates of all endpoints are told: each is told every second.
-const PACE_TURNS: u64 = 5;
+const PACE_ROUNDS: u64 = 5;
 
 /// How long the names of those that claim first stand while the store does not answer the
 /// leader, in milliseconds.
-const STANDBYS_STAND_MS: u64 = 2_000;
+const STANDBYS_KEPT_MS: u64 = 2_000;
 
 impl Control {
     /// Takes an account of the traffic and reports it to the others.
-    pub(super) fn account(&mut self, socket: &UdpSocket, seen: &TrafficReport) {
+    pub(super) fn report_traffic(&mut self, socket: &UdpSocket, seen: &Seen) {
         let now = clock::mono();
-        self.reports += 1;
-        self.duty.work_seen(&seen.work_ms);
-        self.unreported.add(seen.usage.clone());
-        self.trials.crashes_seen(&seen.signs);
-        self.cluster.crashes.own_seen(now, &seen.signs);
-        if self.leads_many(now) {
-            self.report_to_itself(now);
-            self.tell_totals(now, socket);
+        self.report_number += 1;
+        self.leadership.set_work_ms(&seen.work_ms);
+        self.unreported.add(seen.looked.clone());
+        self.trials.record_crashes(&seen.signs);
+        self.cluster.crashes.record_own_signs(now, &seen.signs);
+        if self.leads_large_fleet(now) {
+            self.record_own_report(now);
+            self.send_totals(now, socket);
             return;
         }
         match self.place.role(now) {
-            Role::Alone if !self.cluster.peers.are_many(now) => self.tell_all(now, socket),
-            Role::Alone => self.report_in_tree(now, socket, ALONE_LOOKS, None),
-            Role::Member(to) => self.report_in_tree(now, socket, MEMBER_LOOKS, Some(to)),
-            Role::Delegate(to) => self.report_in_tree(now, socket, DELEGATE_LOOKS, Some(to)),
+            Role::Alone if !self.cluster.peers.is_large_fleet(now) => {
+                self.report_to_all(now, socket)
+            }
+            Role::Alone => self.report_to_parent(now, socket, ALONE_REPORT_EVERY, None),
+            Role::Member(to) => self.report_to_parent(now, socket, MEMBER_REPORT_EVERY, Some(to)),
+            Role::Delegate(to) => {
+                self.report_to_parent(now, socket, DELEGATE_REPORT_EVERY, Some(to))
+            }
         }
     }
 
     /// Whether this instance leads a fleet in which not all tell all.
-    pub(super) fn leads_many(&self, now: Mono) -> bool {
+    pub(super) fn leads_large_fleet(&self, now: Mono) -> bool {
         let peers = &self.cluster.peers;
-        self.duty.in_office() && (peers.are_many(now) || peers.heard(now) >= MAX_FULL_MESH)
+        self.leadership.is_leader()
+            && (peers.is_large_fleet(now) || peers.heard_count(now) >= MOST_TELL_ALL)
     }
 
     /// Reports to all others, in a small fleet.
-    fn tell_all(&mut self, now: Mono, socket: &UdpSocket) {
-        let mut report = self.report_to_itself(now);
+    fn report_to_all(&mut self, now: Mono, socket: &UdpSocket) {
+        let mut report = self.record_own_report(now);
         (report.first_sign, report.signs) = self.cluster.crashes.take_signs();
         let leader = self.cluster.leader_address();
         if let Some(address) = leader {
@@ -81,21 +86,21 @@
 
     /// Reports to whoever sums up for this instance, once in so many looks; to the leader
     /// that the store names where nobody does.
-    fn report_in_tree(
+    fn report_to_parent(
         &mut self,
         now: Mono,
         socket: &UdpSocket,
-        looks: u64,
+        every: u64,
         to: Option<SocketAddr>,
     ) {
-        let is_due = self.reports.is_multiple_of(looks) || self.reports <= 1;
-        if !is_due && !self.cluster.crashes.has_news() {
+        let is_due = self.report_number.is_multiple_of(every) || self.report_number <= 1;
+        if !is_due && !self.cluster.crashes.has_unsent_signs() {
             return;
         }
         let Some(to) = to.or_else(|| self.cluster.leader_address()) else {
             return;
         };
-        let own = self.report_to_itself(now).into_observations();
+        let own = self.record_own_report(now).seen();
         let members = self.cluster.peers.members(now);
         let merged = if members.is_empty() {
             own
@@ -103,7 +108,7 @@
             let in_flight = self.cluster.peers.members_use(now);
             self.gathered.take_with(&own, in_flight)
         };
-        let mut report = self.report(now, merged);
+        let mut report = self.build_report(now, merged);
         report.members = members;
         (report.first_sign, report.signs) = self.cluster.crashes.take_signs();
         let bytes = datagram::encode(&Datagram::Report(report));
@@ -115,26 +120,26 @@
     }
 
     /// Takes what this instance itself has seen since it did so last.
-    fn report_to_itself(&mut self, now: Mono) -> Report {
+    fn record_own_report(&mut self, now: Mono) -> Report {
         let own = std::mem::take(&mut self.unreported);
-        let report = self.report(now, own);
-        self.duty.traffic_seen(now, &report);
-        self.cluster.own_traffic(&report);
-        self.cluster.traffic_seen(now, &report);
+        let report = self.build_report(now, own);
+        self.leadership.record_traffic(now, &report);
+        self.cluster.set_own_use(&report);
+        self.cluster.record_traffic(now, &report);
         report
     }
 
     /// As the leader, tells all instances what they have at contended endpoints together.
-    fn tell_totals(&mut self, now: Mono, socket: &UdpSocket) {
-        if now.since(self.told_totals) < TOTALS_INTERVAL_MS {
+    fn send_totals(&mut self, now: Mono, socket: &UdpSocket) {
+        if now.since(self.totals_sent_at) < TELL_MS {
             return;
         }
-        self.told_totals = now;
+        self.totals_sent_at = now;
         // What it saw itself, it has counted; all others hear of it by the sums.
         self.cluster.crashes.take_signs();
         let candidates = self.cluster.peers.candidates();
         let branches = self.tree.plan(now, &candidates);
-        let mut totals = self.totals(now);
+        let mut totals = self.build_totals(now);
         let bare = datagram::encode(&Datagram::Totals(totals.clone()));
         for branch in &branches {
             if branch.members.is_empty() {
@@ -145,14 +150,14 @@
             let bytes = datagram::encode(&Datagram::Totals(totals.clone()));
             self.send(socket, &bytes, branch.to);
         }
-        self.note_tree(&branches);
+        self.log_tree(&branches);
         self.branches = branches;
         totals.members.clear();
-        self.cluster.peers.totals(now, totals);
+        self.cluster.peers.set_totals(now, totals);
         self.publish(now);
     }
 
-    fn note_tree(&self, branches: &[Branch]) {
+    fn log_tree(&self, branches: &[Branch]) {
         let shape = |branches: &[Branch]| {
             let members: usize = branches.iter().map(|branch| branch.members.len()).sum();
             (branches.len(), members)
@@ -169,57 +174,57 @@
     /// Failure: the store is away for all. Those that are to watch it say that they are not
     /// fit, the next ones watch, and soon all instances ask it. So the names stand for a
     /// while then.
-    fn name_standbys(&mut self, now: Mono, store_lost: bool) {
-        let stands_ms = if store_lost { STANDBYS_STAND_MS } else { 0 };
-        if now.since(self.standbys.1) < stands_ms {
+    fn update_standbys(&mut self, now: Mono, store_lost: bool) {
+        let kept_ms = if store_lost { STANDBYS_KEPT_MS } else { 0 };
+        if now.since(self.standbys.1) < kept_ms {
             return;
         }
         let sights = self.cluster.peers.sights();
         self.standbys = (election::standbys(now, &sights), now);
     }
 
-    fn totals(&mut self, now: Mono) -> Totals {
+    fn build_totals(&mut self, now: Mono) -> Totals {
         let store_lost = self.cluster.is_lost(Table::Endpoints);
-        self.name_standbys(now, store_lost);
+        self.update_standbys(now, store_lost);
         let cluster = &self.cluster;
         let (refused, suspects) = cluster.crashes.totals(now);
         let newest = cluster.peers.newest(now);
-        let own = cluster.seen();
+        let own = cluster.seen_versions();
         Totals {
             leader: self.me.clone(),
-            term: self.duty.term(),
-            number: self.reports,
+            term: self.leadership.term(),
+            number: self.report_number,
             stopping: self.stopping,
-            unfit: self.duty.is_unfit(now, cluster),
+            unfit: self.leadership.is_unfit(now, cluster),
             store_lost,
             strength: self.cfg.strength,
-            row: cluster.leader_row_kept(),
+            row: cluster.kept_leader_row(),
             seen: own.newer(newest),
-            instances: u32::try_from(cluster.peers.heard(now) + 1).unwrap_or(u32::MAX),
+            instances: u32::try_from(cluster.peers.heard_count(now) + 1).unwrap_or(u32::MAX),
             standbys: self.standbys.0.clone(),
             endpoints: cluster.contended(now),
             paces: cluster
                 .paces
-                .estimates_to_send(now, self.reports / 2, PACE_TURNS),
+                .worth_telling(now, self.report_number / 2, PACE_ROUNDS),
             refused,
             suspects,
             members: Vec::new(),
         }
     }
 
-    fn report(&self, now: Mono, mut seen: report::Observations) -> Report {
+    fn build_report(&self, now: Mono, mut seen: report::Seen) -> Report {
         for samples in &mut seen.keys {
             samples.keys.truncate(MAX_KEYS);
         }
         Report {
             instance: self.me.instance.clone(),
             session: self.me.id,
-            number: self.reports,
+            number: self.report_number,
             stopping: self.stopping,
-            unfit: self.duty.is_unfit(now, &self.cluster),
+            unfit: self.leadership.is_unfit(now, &self.cluster),
             strength: self.cfg.strength,
-            term: self.duty.term(),
-            seen: self.cluster.seen(),
+            term: self.leadership.term(),
+            seen: self.cluster.seen_versions(),
             endpoints: seen.endpoints,
             keys: seen.keys,
             members: Vec::new(),
@@ -229,8 +234,8 @@
     }
 
     /// Lets an instance know the newest term.
-    pub(super) fn report_term(&self, now: Mono, socket: &UdpSocket, to: SocketAddr) {
-        let report = self.report(now, report::Observations::default());
+    pub(super) fn send_term(&self, now: Mono, socket: &UdpSocket, to: SocketAddr) {
+        let report = self.build_report(now, report::Seen::default());
         self.send(socket, &datagram::encode(&Datagram::Report(report)), to);
     }
 
@@ -245,7 +250,7 @@
     }
 
     /// Passes an assignment on that this leader has just written, and believes it.
-    pub(super) fn pass_on_written(
+    pub(super) fn relay_write(
         &mut self,
         now: Mono,
         socket: &UdpSocket,
@@ -253,23 +258,23 @@
         row: &Assignment,
         version: Version,
     ) {
-        let Some(relay) = self.cluster.written(service, row, version) else {
+        let Some(relay) = self.cluster.relay_of_write(service, row, version) else {
             return;
         };
-        self.pass_on(now, socket, &relay);
-        self.cluster.relayed(now, &relay);
+        self.relay_rows(now, socket, &relay);
+        self.cluster.apply_relay(now, &relay);
     }
 
     /// Passes rows on to those that rest.
-    pub(super) fn pass_on(&self, now: Mono, socket: &UdpSocket, relay: &Relay) {
-        if !self.duty.in_office() {
+    pub(super) fn relay_rows(&self, now: Mono, socket: &UdpSocket, relay: &Relay) {
+        if !self.leadership.is_leader() {
             return;
         }
         let mut relay = self.cluster.with_patches(relay);
         // What receivers must have seen before is the newest row, not the store's position,
         // which moves with rows of all tables.
-        relay.after = Version(self.cluster.seen().of(relay.table));
-        if !self.leads_many(now) {
+        relay.after = Version(self.cluster.seen_versions().of(relay.table));
+        if !self.leads_large_fleet(now) {
             for bytes in relays::in_datagrams(relay) {
                 for address in self.cluster.peers.addresses() {
                     self.send(socket, &bytes, address);
--- a/crates/citronway/src/gateway/control/store.rs
+++ b/crates/citronway/src/gateway/control/store.rs
@@ -20,7 +20,7 @@
 /// How long a call waits beyond what it asked the store to wait.
 ///
 /// The store answers within 5 ms; slowed sixtyfold it still answers in time.
-const CALL_LIMIT: Duration = Duration::from_millis(500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Long polls of an instance that keeps nothing, in milliseconds.
 ///
@@ -36,24 +36,24 @@
 pub(super) const LEADER_WAIT_MS: u64 = 1_000;
 
 /// First and longest pause after a call that failed, in milliseconds.
-const PAUSE_MS: (u64, u64) = (100, 1_000);
+const RETRY_PAUSE_MS: (u64, u64) = (100, 1_000);
 
 /// Pause after a call that failed where another instance tells when the store is back, in
 /// milliseconds.
-const RESTING_PAUSE_MS: u64 = 5_000;
+const PASSIVE_PAUSE_MS: u64 = 5_000;
 
 /// Time between two polls of the endpoints' entries, in milliseconds. Endpoints that leave
 /// are left alone in time if it is known within 1.5 s.
 ///
 /// Load: 395 endpoints list themselves or leave within a few seconds, and each change was
 /// answered by itself: 250 calls before the first request.
-pub(super) const ENTRIES_GAP_MS: u64 = 150;
+pub(super) const ENTRIES_BATCH_MS: u64 = 150;
 
 /// The same of a leader's own table, in milliseconds.
 ///
 /// Load: each write of an assignment was answered to the leader's own poll too, a quarter of
 /// all calls while ranges move. What it writes it knows by the answer to the write.
-pub(super) const OWN_GAP_MS: u64 = 250;
+pub(super) const OWN_BATCH_MS: u64 = 250;
 
 /// Why a call of the store brought nothing.
 #[derive(Debug, thiserror::Error)]
@@ -79,19 +79,19 @@
         }
     }
 
-    async fn call(&mut self, req: Request<Bytes>, limit: Duration) -> Result<Answer, CallError> {
+    async fn call(&mut self, req: Request<Bytes>, timeout: Duration) -> Result<Answer, CallError> {
         let mut link = match self.link.take().filter(Link::is_usable) {
             Some(link) => link,
             None => Link::open(self.address, ConnectMode::Immediate).await?,
         };
-        let answer = link.call(req, limit).await?;
+        let answer = link.call(req, timeout).await?;
         self.link = Some(link);
         Ok(answer)
     }
 
     async fn page(&mut self, table: Table, after: Option<&str>) -> Result<store::Rows, StoreError> {
         let req = store::get(&self.address.to_string(), table, after);
-        let answer = self.call(req, CALL_LIMIT).await?;
+        let answer = self.call(req, CALL_TIMEOUT).await?;
         Ok(store::read_rows(answer.status, &answer.body)?)
     }
 
@@ -121,8 +121,8 @@
         wait_ms: u64,
     ) -> Result<store::Rows, StoreError> {
         let req = store::feed(&self.address.to_string(), table, after, wait_ms);
-        let limit = CALL_LIMIT + Duration::from_millis(wait_ms);
-        let answer = self.call(req, limit).await?;
+        let timeout = CALL_TIMEOUT + Duration::from_millis(wait_ms);
+        let answer = self.call(req, timeout).await?;
         Ok(store::read_rows(answer.status, &answer.body)?)
     }
 
@@ -132,8 +132,8 @@
         change: &ConditionalWrite,
     ) -> Result<Version, StoreError> {
         let req = store::change(&self.address.to_string(), change)
-            .map_err(|e| StoreError::Refused(StoreRefusal::Malformed(e)))?;
-        let answer = self.call(req, CALL_LIMIT).await?;
+            .map_err(|e| StoreError::Refused(Refused::Malformed(e)))?;
+        let answer = self.call(req, CALL_TIMEOUT).await?;
         Ok(store::read_change(answer.status, &answer.body)?)
     }
 }
@@ -148,7 +148,7 @@
 
 /// News of a table.
 #[derive(Debug)]
-pub(super) enum News {
+pub(super) enum TableUpdate {
     /// All rows.
     Loaded {
         rows: Vec<Row>,
@@ -164,34 +164,34 @@
 
 /// What a follower and its owner share.
 #[derive(Debug)]
-pub(super) struct Follow {
+pub(super) struct PollControl {
     /// Position in the table's history; relayed rows move it too.
     pub position: AtomicU64,
     /// Another instance passes the rows on; this one asks only when told to.
-    pub resting: AtomicBool,
+    pub passive: AtomicBool,
     /// How long to wait at the store, in milliseconds.
     pub wait_ms: AtomicU64,
     /// Time from an answer to the next call, in milliseconds.
-    pub gather_ms: AtomicU64,
+    pub batch_ms: AtomicU64,
     /// Times the usual pause between calls while the store does not answer.
-    pub patience: AtomicU64,
+    pub pause_factor: AtomicU64,
     /// Nothing is asked yet: another instance is to give a copy.
-    pub held: AtomicBool,
+    pub awaits_copy: AtomicBool,
     /// Has the whole table read anew.
     pub reload: AtomicBool,
     /// Has the store asked now, on a new connection.
     pub refresh: Notify,
 }
 
-impl Follow {
+impl PollControl {
     pub(super) fn new() -> Arc<Self> {
         Arc::new(Self {
             position: AtomicU64::new(0),
-            resting: AtomicBool::new(false),
+            passive: AtomicBool::new(false),
             wait_ms: AtomicU64::new(IDLE_WAIT_MS),
-            gather_ms: AtomicU64::new(0),
-            patience: AtomicU64::new(1),
-            held: AtomicBool::new(false),
+            batch_ms: AtomicU64::new(0),
+            pause_factor: AtomicU64::new(1),
+            awaits_copy: AtomicBool::new(false),
             reload: AtomicBool::new(false),
             refresh: Notify::new(),
         })
@@ -201,42 +201,42 @@
     ///
     /// What the answer lacks shows by the next relayed row or by the versions that
     /// others report.
-    fn forget_refresh(&self) {
+    fn clear_refresh(&self) {
         let _ = self.refresh.notified().now_or_never();
     }
 }
 
 /// Follows one table for as long as the process runs.
 #[derive(Debug)]
-pub(super) struct Follower {
+pub(super) struct TablePoller {
     pub table: Table,
     pub address: SocketAddr,
     pub events: mpsc::Sender<Event>,
-    pub follow: Arc<Follow>,
+    pub control: Arc<PollControl>,
 }
 
-impl Follower {
+impl TablePoller {
     pub(super) async fn run(self) {
         let mut store = Store::new(self.address);
-        let mut pause = PAUSE_MS.0;
-        while self.follow.held.load(Ordering::Relaxed) {
-            self.follow.refresh.notified().await;
+        let mut pause = RETRY_PAUSE_MS.0;
+        while self.control.awaits_copy.load(Ordering::Relaxed) {
+            self.control.refresh.notified().await;
         }
         // What another instance gave as a copy needs not be read again.
-        let mut loaded = self.follow.position.load(Ordering::Relaxed) > 0;
-        let mut hurry = false;
+        let mut loaded = self.control.position.load(Ordering::Relaxed) > 0;
+        let mut skip_wait = false;
         loop {
-            if loaded && !hurry && self.follow.resting.load(Ordering::Relaxed) {
-                self.follow.refresh.notified().await;
-                hurry = true;
+            if loaded && !skip_wait && self.control.passive.load(Ordering::Relaxed) {
+                self.control.refresh.notified().await;
+                skip_wait = true;
             }
-            let asked = clock::mono();
-            loaded &= !self.follow.reload.swap(false, Ordering::Relaxed);
-            let news = if loaded {
-                match self.poll(&mut store, hurry).await {
-                    Polled::News(news) => news,
-                    Polled::Again => {
-                        hurry = true;
+            let sent_at = clock::mono();
+            loaded &= !self.control.reload.swap(false, Ordering::Relaxed);
+            let update = if loaded {
+                match self.poll(&mut store, skip_wait).await {
+                    Polled::Update(update) => update,
+                    Polled::Refresh => {
+                        skip_wait = true;
                         continue;
                     }
                     Polled::HistoryGone => {
@@ -247,78 +247,78 @@
             } else {
                 self.load(&mut store).await
             };
-            let lost = matches!(news, News::Lost(_));
+            let lost = matches!(update, TableUpdate::Lost(_));
             loaded |= !lost;
             // Failure: a poll sent while the store is silent hangs beyond its return,
             // and an old configuration stays in force meanwhile. Until the store has
             // answered again, calls do not wait.
-            hurry = lost;
+            skip_wait = lost;
             let event = Event::Store {
                 table: self.table,
-                news,
-                asked,
+                update,
+                sent_at,
             };
             if self.events.send(event).await.is_err() {
                 return;
             }
             if lost {
                 // Another table that is answered again ends the pause.
-                let rests = loaded && self.follow.resting.load(Ordering::Relaxed);
-                let pause_ms = if rests { RESTING_PAUSE_MS } else { pause };
+                let is_passive = loaded && self.control.passive.load(Ordering::Relaxed);
+                let pause_ms = if is_passive { PASSIVE_PAUSE_MS } else { pause };
                 let pause_over = tokio::time::sleep(Duration::from_millis(pause_ms));
                 tokio::select! {
                     () = pause_over => {}
-                    () = self.follow.refresh.notified() => {}
+                    () = self.control.refresh.notified() => {}
                 }
-                let patience = self.follow.patience.load(Ordering::Relaxed);
-                pause = (pause * 2).min(self.longest_pause_ms() * patience);
+                let pause_factor = self.control.pause_factor.load(Ordering::Relaxed);
+                pause = (pause * 2).min(self.longest_pause_ms() * pause_factor);
             } else {
-                pause = PAUSE_MS.0;
-                self.let_changes_gather().await;
+                pause = RETRY_PAUSE_MS.0;
+                self.wait_for_batch().await;
             }
         }
     }
 
-    async fn load(&self, store: &mut Store) -> News {
+    async fn load(&self, store: &mut Store) -> TableUpdate {
         match store.load(self.table).await {
             Ok(loaded) => {
-                self.follow
+                self.control
                     .position
                     .store(loaded.version.0, Ordering::Relaxed);
-                News::Loaded {
+                TableUpdate::Loaded {
                     rows: loaded.rows,
                     version: loaded.version,
                     now_ms: loaded.now_ms,
                 }
             }
-            Err(e) => News::Lost(e.to_string()),
+            Err(e) => TableUpdate::Lost(e.to_string()),
         }
     }
 
     /// Waits until several rows have changed that change at about the same time.
-    async fn let_changes_gather(&self) {
-        let gather_ms = self.follow.gather_ms.load(Ordering::Relaxed);
-        if gather_ms > 0 {
-            tokio::time::sleep(Duration::from_millis(gather_ms)).await;
+    async fn wait_for_batch(&self) {
+        let batch_ms = self.control.batch_ms.load(Ordering::Relaxed);
+        if batch_ms > 0 {
+            tokio::time::sleep(Duration::from_millis(batch_ms)).await;
         }
     }
 
     /// One table is asked for often while the store is lost, the others when it is back.
     const fn longest_pause_ms(&self) -> u64 {
         match self.table {
-            Table::Endpoints => PAUSE_MS.1 / 2,
-            Table::Config | Table::Own => PAUSE_MS.1,
+            Table::Endpoints => RETRY_PAUSE_MS.1 / 2,
+            Table::Config | Table::Own => RETRY_PAUSE_MS.1,
         }
     }
 
-    async fn poll(&self, store: &mut Store, hurry: bool) -> Polled {
-        let after = Version(self.follow.position.load(Ordering::Relaxed));
-        let wait_ms = self.follow.wait_ms.load(Ordering::Relaxed);
-        let polled = if hurry {
+    async fn poll(&self, store: &mut Store, skip_wait: bool) -> Polled {
+        let after = Version(self.control.position.load(Ordering::Relaxed));
+        let wait_ms = self.control.wait_ms.load(Ordering::Relaxed);
+        let polled = if skip_wait {
             // Failure: rows change faster than a poll takes, each one that was missed
             // asks for a poll, and polls that give way to the next one never end.
             let polled = store.feed(self.table, after, 0).await;
-            self.follow.forget_refresh();
+            self.control.clear_refresh();
             polled
         } else {
             tokio::select! {
@@ -326,15 +326,15 @@
                 // Failure: an open connection falls silent for good and the table seems
                 // not to change. Others that see newer versions show it; a new
                 // connection works.
-                () = self.follow.refresh.notified() => {
+                () = self.control.refresh.notified() => {
                     store.link = None;
-                    return Polled::Again;
+                    return Polled::Refresh;
                 }
             }
         };
         match polled {
             Ok(rows) => {
-                self.follow
+                self.control
                     .position
                     .fetch_max(rows.version.0, Ordering::Relaxed);
                 let relay = Relay {
@@ -345,13 +345,13 @@
                     patches: Vec::new(),
                 };
                 let now_ms = rows.now_ms;
-                Polled::News(News::Changed { relay, now_ms })
+                Polled::Update(TableUpdate::Changed { relay, now_ms })
             }
             Err(StoreError::Refused(StoreRefusal::HistoryGone)) => {
                 log::info!(table = self.table.as_str(); "history gone, table read anew");
                 Polled::HistoryGone
             }
-            Err(e) => Polled::News(News::Lost(e.to_string())),
+            Err(e) => Polled::Update(TableUpdate::Lost(e.to_string())),
         }
     }
 }
@@ -359,8 +359,8 @@
 /// Result of one poll.
 #[derive(Debug)]
 enum Polled {
-    News(News),
+    Update(TableUpdate),
     /// Told to ask now.
-    Again,
+    Refresh,
     HistoryGone,
 }
--- a/crates/citronway/src/gateway/control/trials.rs
+++ b/crates/citronway/src/gateway/control/trials.rs
@@ -21,15 +21,15 @@
 pub(super) const RESEND_MS: u64 = 25;
 
 /// Time after which the leader's answer is no longer waited for, in milliseconds.
-const ANSWER_MS: u64 = 300;
+const REPLY_TIMEOUT_MS: u64 = 300;
 
 /// Time without an answer of any leader after which an instance tries work in its turn, in
 /// milliseconds: longer than most changes of the leader.
-const ALONE_AFTER_MS: u64 = 2_000;
+const LEADERLESS_AFTER_MS: u64 = 2_000;
 
 /// A request that the leader has not answered yet.
 #[derive(Debug)]
-struct Asked {
+struct PendingRequest {
     req: TrialRequest,
     reply: oneshot::Sender<TrialGrant>,
     since: Mono,
@@ -38,22 +38,22 @@
 
 /// What this instance knows of trials.
 #[derive(Debug, Default)]
-pub(super) struct TrialDuty {
+pub(super) struct TrialState {
     /// Trials of this instance's own traffic.
     own: Trials,
     /// Those of all instances, while this one leads.
     granted: Trials,
     /// Term in which it granted them.
     term: u64,
-    asked: IndexMap<u64, Asked>,
+    pending: IndexMap<u64, PendingRequest>,
     /// Since when no leader has answered a request.
     unanswered_since: Option<Mono>,
 }
 
-impl TrialDuty {
+impl TrialState {
     /// Whether an answer of the leader is waited for.
     pub(super) fn is_waiting(&self) -> bool {
-        !self.asked.is_empty()
+        !self.pending.is_empty()
     }
 
     /// Trials that this instance grants as the leader of a term.
@@ -66,13 +66,13 @@
     }
 
     /// Whether no leader has answered for so long that none is waited for.
-    fn is_alone(&mut self, now: Mono) -> bool {
+    fn is_leaderless(&mut self, now: Mono) -> bool {
         let since = *self.unanswered_since.get_or_insert(now);
-        now.since(since) >= ALONE_AFTER_MS
+        now.since(since) >= LEADERLESS_AFTER_MS
     }
 
     /// Notes crashes: what was cleared by an answer before is under suspicion again.
-    pub(super) fn crashes_seen(&mut self, signs: &[Sign]) {
+    pub(super) fn record_crashes(&mut self, signs: &[Sign]) {
         for sign in signs {
             let Sign::Crash { work, .. } = sign else {
                 continue;
@@ -82,19 +82,19 @@
         }
     }
 
-    fn settle(&mut self, now: Mono, asked: Asked, grant: TrialGrant) {
-        let TrialRequest { id, work, .. } = asked.req;
+    fn answer(&mut self, now: Mono, pending: PendingRequest, grant: TrialGrant) {
+        let TrialRequest { id, work, .. } = pending.req;
         if grant != TrialGrant::Granted {
             self.own.record_end(now, id, work, TrialEnd::Inconclusive);
         }
         // The caller has left where nobody listens; then the trial ends by its own guard.
-        let _ = asked.reply.send(grant);
+        let _ = pending.reply.send(grant);
     }
 }
 
 impl Control {
     /// Takes what the traffic asks or tells of trials.
-    pub(super) fn trial_event(&mut self, socket: &UdpSocket, event: TrialEvent) {
+    pub(super) fn on_trial_event(&mut self, socket: &UdpSocket, event: TrialEvent) {
         let now = clock::mono();
         match event {
             TrialEvent::Request(ask) => {
@@ -128,7 +128,7 @@
         req: TrialRequest,
         reply: oneshot::Sender<TrialGrant>,
     ) {
-        let asked = Asked {
+        let pending = PendingRequest {
             req,
             reply,
             since: now,
@@ -137,44 +137,44 @@
         let grant = self.trials.own.request(now, &req);
         if grant != TrialGrant::Granted {
             // Nothing was taken that would have to be given back.
-            let _ = asked.reply.send(grant);
+            let _ = pending.reply.send(grant);
             return;
         }
-        if self.duty.in_office() {
+        if self.leadership.is_leader() {
             self.trials.unanswered_since = None;
             let grant = self.grant_trial(now, &req);
-            self.trials.settle(now, asked, grant);
+            self.trials.answer(now, pending, grant);
             return;
         }
-        let Some(leader) = self.answering_leader(now) else {
-            let grant = self.try_alone(now, req.work);
-            self.trials.settle(now, asked, grant);
+        let Some(leader) = self.reachable_leader(now) else {
+            let grant = self.grant_without_leader(now, req.work);
+            self.trials.answer(now, pending, grant);
             return;
         };
         self.send_trial(socket, &Datagram::TrialRequest(req), leader);
-        self.trials.asked.insert(req.id.number, asked);
+        self.trials.pending.insert(req.id.number, pending);
     }
 
     /// As the leader, decides about a request of any instance.
     fn grant_trial(&mut self, now: Mono, req: &TrialRequest) -> TrialGrant {
-        let term = self.duty.term();
+        let term = self.leadership.term();
         let grant = self.trials.granted_in(now, term).request(now, req);
         log::debug!(work:% = req.work, session = req.id.session.0, grant:?; "trial requested");
         grant
     }
 
-    pub(super) fn answering_leader(&self, now: Mono) -> Option<SocketAddr> {
+    pub(super) fn reachable_leader(&self, now: Mono) -> Option<SocketAddr> {
         if !self.cluster.hears_leader(now) {
             return None;
         }
         self.cluster.leader_address()
     }
 
-    fn try_alone(&mut self, now: Mono, work: Fingerprint) -> TrialGrant {
+    fn grant_without_leader(&mut self, now: Mono, work: Fingerprint) -> TrialGrant {
         let known = self.cluster.crashes.known();
         let heard = known.suspects.get(&work).copied().unwrap_or(now);
         let place = self.place_among_peers(work);
-        let may_send = self.trials.is_alone(now) && may_try_without_leader(now, heard, place);
+        let may_send = self.trials.is_leaderless(now) && may_try_alone(now, heard, place);
         log::info!(work:%, may_send; "no leader answers about a trial");
         if may_send {
             TrialGrant::Granted
@@ -192,20 +192,18 @@
         let before = peers.filter(|rank| order(*rank) < own).count();
         InstancePosition {
             before: before as u64,
-            total: self.cluster.peers.listed() as u64,
+            of: self.cluster.peers.listed_count() as u64,
         }
     }
 
     fn end_trial(&mut self, now: Mono, socket: &UdpSocket, ended: EndedTrial) {
-        self.trials
-            .own
-            .record_end(now, ended.id, ended.work, ended.end);
-        self.trials.asked.swap_remove(&ended.id.number);
-        if self.duty.in_office() {
-            self.trial_ended(now, &ended);
+        self.trials.own.ended(now, ended.id, ended.work, ended.end);
+        self.trials.pending.swap_remove(&ended.id.number);
+        if self.leadership.is_leader() {
+            self.record_trial_end(now, &ended);
             return;
         }
-        if let Some(leader) = self.answering_leader(now) {
+        if let Some(leader) = self.reachable_leader(now) {
             self.send_trial(socket, &Datagram::TrialEnd(ended), leader);
         }
     }
@@ -214,27 +212,25 @@
     ///
     /// Failure guarded against: the next copy is granted before the crash that ended this one
     /// is heard of by reports. So the end itself tells of the crash.
-    fn trial_ended(&mut self, now: Mono, ended: &EndedTrial) {
+    fn record_trial_end(&mut self, now: Mono, ended: &EndedTrial) {
         let EndedTrial { id, work, end } = *ended;
         if let TrialEnd::Crashed { endpoint } = end {
             let crash = Sign::Crash { work, endpoint };
-            self.cluster.crashes.crash_told(now, crash);
-            self.trials.crashes_seen(&[crash]);
+            self.cluster.crashes.record_crash(now, crash);
+            self.trials.record_crashes(&[crash]);
         }
-        let term = self.duty.term();
-        self.trials
-            .granted_in(now, term)
-            .record_end(now, id, work, end);
+        let term = self.leadership.term();
+        self.trials.granted_in(now, term).ended(now, id, work, end);
     }
 
     /// Takes a message about trials that came from an address.
-    pub(super) fn trial_requested(
+    pub(super) fn on_trial_request(
         &mut self,
         socket: &UdpSocket,
         req: &TrialRequest,
         from: SocketAddr,
     ) {
-        if !self.duty.in_office() {
+        if !self.leadership.is_leader() {
             return;
         }
         let grant = self.grant_trial(clock::mono(), req);
@@ -244,53 +240,53 @@
     }
 
     /// Takes the answer of the leader.
-    pub(super) fn trial_replied(&mut self, reply: &TrialReply) {
+    pub(super) fn on_trial_reply(&mut self, reply: &TrialReply) {
         if reply.id.session != self.me.id {
             return;
         }
-        let Some(asked) = self.trials.asked.swap_remove(&reply.id.number) else {
+        let Some(pending) = self.trials.pending.swap_remove(&reply.id.number) else {
             return;
         };
         let now = clock::mono();
         self.trials.unanswered_since = None;
         if reply.grant == TrialGrant::Cleared {
-            self.cluster.crashes.cleared(now, reply.work);
+            self.cluster.crashes.record_answer(now, reply.work);
         }
-        self.trials.settle(now, asked, reply.grant);
+        self.trials.answer(now, pending, reply.grant);
     }
 
     /// Takes the end of another instance's trial.
-    pub(super) fn trial_end_came(&mut self, ended: &EndedTrial) {
-        if self.duty.in_office() {
-            self.trial_ended(clock::mono(), ended);
+    pub(super) fn on_trial_end(&mut self, ended: &EndedTrial) {
+        if self.leadership.is_leader() {
+            self.record_trial_end(clock::mono(), ended);
         }
     }
 
     /// Asks again what is not answered, and decides without the leader what is not for long.
     pub(super) fn step_trials(&mut self, socket: &UdpSocket) {
         let now = clock::mono();
-        if self.duty.in_office() {
+        if self.leadership.is_leader() {
             // What a new leader waits for counts from its first moment, not from a request.
-            self.trials.granted_in(now, self.duty.term());
+            self.trials.granted_in(now, self.leadership.term());
         }
-        let late = |asked: &Asked| now.since(asked.since) >= ANSWER_MS;
+        let late = |pending: &PendingRequest| now.since(pending.since) >= REPLY_TIMEOUT_MS;
         let unanswered: Vec<_> = self
             .trials
-            .asked
-            .extract_if(.., |_, asked| late(asked))
+            .pending
+            .extract_if(.., |_, pending| late(pending))
             .collect();
-        for (_, asked) in unanswered {
-            let grant = self.try_alone(now, asked.req.work);
-            self.trials.settle(now, asked, grant);
+        for (_, pending) in unanswered {
+            let grant = self.grant_without_leader(now, pending.req.work);
+            self.trials.answer(now, pending, grant);
         }
         let Some(leader) = self.cluster.leader_address() else {
             return;
         };
         let mut again = Vec::new();
-        for asked in self.trials.asked.values_mut() {
-            if now.since(asked.sent) >= RESEND_MS {
-                asked.sent = now;
-                again.push(asked.req);
+        for pending in self.trials.pending.values_mut() {
+            if now.since(pending.sent) >= RESEND_MS {
+                pending.sent = now;
+                again.push(pending.req);
             }
         }
         for req in again {
--- a/crates/citronway/src/gateway/control/unusable.rs
+++ b/crates/citronway/src/gateway/control/unusable.rs
@@ -4,7 +4,7 @@
 use indexmap::IndexMap;
 
 /// Findings of one configuration that are logged; the rest is counted.
-const MOST_LOGGED: usize = 20;
+const MAX_LOGGED_FINDINGS: usize = 20;
 
 /// Where it stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -42,11 +42,11 @@
     }
 
     /// Takes what was found in a configuration that is in force for all the rest.
-    pub(super) fn found_in_configuration(&mut self, findings: &Findings) {
-        for finding in findings.iter().take(MOST_LOGGED) {
+    pub(super) fn record_findings(&mut self, findings: &Findings) {
+        for finding in findings.iter().take(MAX_LOGGED_FINDINGS) {
             log::error!(cause = finding.to_string(); "part of the configuration cannot be used");
         }
-        let rest = findings.len().saturating_sub(MOST_LOGGED);
+        let rest = findings.len().saturating_sub(MAX_LOGGED_FINDINGS);
         if rest > 0 {
             log::error!(rest; "more of the configuration cannot be used");
         }
@@ -57,7 +57,7 @@
     ///
     /// Load: an endpoint's entry is written each second. One line for each change of
     /// what is wrong is enough.
-    pub(super) fn refused(&mut self, source: Source, key: &str, cause: String) {
+    pub(super) fn record_row(&mut self, source: Source, key: &str, cause: String) {
         let at = (source, key.to_owned());
         if self.causes.get(&at) == Some(&cause) {
             return;
@@ -69,7 +69,7 @@
     }
 
     /// Takes a row that is usable or gone.
-    pub(super) fn settled(&mut self, source: Source, key: &str) {
+    pub(super) fn clear(&mut self, source: Source, key: &str) {
         self.causes.swap_remove(&(source, key.to_owned()));
     }
 
