--- a/crates/citronway/src/gateway/control/cluster/copies.rs
+++ b/crates/citronway/src/gateway/control/cluster/copies.rs
@@ -78,11 +78,7 @@
 
     /// Whether rows of a table that are missed are to come from the store this time: another
     /// instance was asked a moment ago, and they still are.
-    pub(in super::super) fn should_read_missed_from_store(
-        &mut self,
-        now: Mono,
-        table: Table,
-    ) -> bool {
+    pub(in super::super) fn needs_store_read(&mut self, now: Mono, table: Table) -> bool {
         let state = self.table_state(table);
         let requested_at = state.missed_requested_at.replace(now);
         let is_recent = requested_at.is_some_and(|at| now.since(at) < 2 * BEHIND_MS);
--- a/crates/citronway/src/gateway/control/copies.rs
+++ b/crates/citronway/src/gateway/control/copies.rs
@@ -81,7 +81,7 @@
         };
         let events = events.clone();
         tokio::spawn(async move {
-            let copy = fetch(address, table, after).await;
+            let copy = fetch_copy(address, table, after).await;
             // Nobody is left to be told when the process ends.
             let _ = events.send(Event::CopyDone { table, copy }).await;
         });
@@ -95,7 +95,7 @@
         if self.pending_copies.contains(&table) {
             return;
         }
-        let by_store = self.cluster.should_read_missed_from_store(now, table);
+        let by_store = self.cluster.needs_store_read(now, table);
         if by_store || matches!(self.place.role(now), Role::Alone) {
             self.poll_control(table).refresh.notify_one();
         } else {
@@ -104,7 +104,7 @@
     }
 
     /// Takes a copy that came, or why none did.
-    pub(super) fn copy_done(&mut self, now: Mono, table: Table, copy: Result<Relay, CopyError>) {
+    pub(super) fn on_copy_done(&mut self, now: Mono, table: Table, copy: Result<Relay, CopyError>) {
         self.pending_copies.retain(|pending| *pending != table);
         let copy = match copy {
             Ok(copy) => copy,
@@ -195,19 +195,15 @@
 }
 
 /// Asks another instance for the rows of a table after a version.
-pub(super) async fn fetch(
+pub(super) async fn fetch_copy(
     address: SocketAddr,
     table: Table,
     after: Version,
 ) -> Result<Relay, CopyError> {
-    timeout(COPY_TIMEOUT, fetch_untimed(address, table, after)).await?
+    timeout(COPY_TIMEOUT, read_copy(address, table, after)).await?
 }
 
-async fn fetch_untimed(
-    address: SocketAddr,
-    table: Table,
-    after: Version,
-) -> Result<Relay, CopyError> {
+async fn read_copy(address: SocketAddr, table: Table, after: Version) -> Result<Relay, CopyError> {
     let mut stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     if after == Version(0) {
         stream.write_u8(datagram::code_of(table)).await?;
--- a/crates/citronway/src/gateway/control/crashes.rs
+++ b/crates/citronway/src/gateway/control/crashes.rs
@@ -284,7 +284,7 @@
     }
 
     fn write_crashes(&mut self, now: Mono, events: &mpsc::Sender<Event>) {
-        let Some(leader_version) = self.leadership.leadership_version() else {
+        let Some(leader_version) = self.leadership.row_version() else {
             return;
         };
         // The leader's row is about to have another version, and this write would be refused.
@@ -325,7 +325,7 @@
     }
 
     /// Notes that a write of the row has ended; what stands comes by the feed.
-    pub(super) fn crashes_written(&mut self, now: Mono, done: bool) {
+    pub(super) fn on_crashes_written(&mut self, now: Mono, done: bool) {
         let crashes = &mut self.cluster.crashes;
         crashes.writing = false;
         if !done {
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -158,16 +158,16 @@
     /// Which part of all sends to cold endpoints this leader grants now.
     pub(super) fn cold_part(&self, now: Mono) -> Option<f64> {
         let row = self.leadership_row.as_ref()?;
-        let office = Office {
+        let state = Office {
             contact: self.confirmed_at,
             rivals: self.rivals,
             earlier_leaders: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
         };
-        cold::granted_share(now, &self.cfg, &office)
+        cold::granted_part(now, &self.cfg, &state)
     }
 
     /// Version of the row by which this instance leads, while it does.
-    pub(super) fn leadership_version(&self) -> Option<Version> {
+    pub(super) fn row_version(&self) -> Option<Version> {
         self.leadership_row.as_ref().map(|row| row.version)
     }
 
@@ -220,7 +220,7 @@
         if self
             .leadership_row
             .as_ref()
-            .is_some_and(|office| office.term == row.term)
+            .is_some_and(|own_row| own_row.term == row.term)
         {
             self.leadership_row = Some(row.clone());
             self.confirmed_at = self.confirmed_at.max(sent_at);
@@ -278,13 +278,13 @@
         }
     }
 
-    pub(super) fn order_done(&mut self, now: Mono, order: &Order, result: &OrderResult) {
+    pub(super) fn on_order_done(&mut self, now: Mono, order: &Order, result: &OrderResult) {
         if let Some(leader) = self.leaders.get_mut(&order.service) {
             leader.answered(now, order, result);
         }
     }
 
-    pub(super) fn write_done(&mut self, now: Mono, service: &ServiceName, result: WriteResult) {
+    pub(super) fn on_write_done(&mut self, now: Mono, service: &ServiceName, result: WriteResult) {
         if let Some(leader) = self.leaders.get_mut(service) {
             leader.handle_write_result(now, result);
         }
@@ -295,7 +295,7 @@
         self.claim_pending
     }
 
-    pub(super) fn claim_done(&mut self) {
+    pub(super) fn on_claim_done(&mut self) {
         self.claim_pending = false;
     }
 
@@ -321,11 +321,11 @@
             claim: claim.or_else(|| self.remove_former_leaders(now)),
             wait_ms: IDLE_WAIT_MS,
         };
-        let Some(office) = self.leadership_row.clone() else {
+        let Some(own_row) = self.leadership_row.clone() else {
             return due;
         };
         due.wait_ms = LEADER_WAIT_MS;
-        self.end_rival_wait(now, &office, cluster);
+        self.end_rival_wait(now, &own_row, cluster);
         for service in cluster.sharded() {
             self.leaders.entry(service.clone()).or_insert_with(|| {
                 let mut leader = Leader::new(self.cfg, service);
@@ -342,7 +342,7 @@
                         service,
                         row,
                         expected,
-                    } => match assignment_write(&office, service.clone(), row, expected) {
+                    } => match assignment_write(&own_row, service.clone(), row, expected) {
                         Ok(write) => due.writes.push(write),
                         Err(e) => {
                             let service = service.as_str();
@@ -356,19 +356,19 @@
     }
 
     /// Lifts the wait for earlier leaders once all are known to have stopped.
-    fn end_rival_wait(&mut self, now: Mono, office: &LeaderRow, cluster: &Cluster) {
-        if self.rivals_stopped || office.former.is_empty() {
+    fn end_rival_wait(&mut self, now: Mono, own_row: &LeaderRow, cluster: &Cluster) {
+        if self.rivals_stopped || own_row.former.is_empty() {
             return;
         }
         let sights = cluster.peers.sights();
         let stopped = |former: &FormerLeader| {
             former.session.instance == self.me.instance
-                || election::has_stopped(&former.session, office.term, &sights)
+                || election::has_stopped(&former.session, own_row.term, &sights)
         };
-        if office.former.iter().all(stopped) {
+        if own_row.former.iter().all(stopped) {
             self.rivals_stopped = true;
             self.rivals = self.rivals.min(self.cfg.stopped_rivals(now));
-            log::info!(term = office.term; "earlier leaders have stopped");
+            log::info!(term = own_row.term; "earlier leaders have stopped");
             for leader in self.leaders.values_mut() {
                 leader.predecessor_stopped(now);
             }
@@ -381,22 +381,22 @@
     /// stopped. Left in the row, each later leader would wait for it anew before it
     /// gives the keys of a dead endpoint to another.
     fn remove_former_leaders(&mut self, now: Mono) -> Option<Change> {
-        let office = self
+        let own_row = self
             .leadership_row
             .as_ref()
-            .filter(|office| !office.former.is_empty())?;
+            .filter(|own_row| !own_row.former.is_empty())?;
         let free = self.rivals_stopped || now > self.rivals.hold_until;
         if !free || self.claim_pending || now < self.claim_after {
             return None;
         }
-        let value = own_rows::leader_value(&self.me, office.term, Vec::new());
+        let value = own_rows::leader_value(&self.me, own_row.term, Vec::new());
         let value = value
             .inspect_err(|e| log::error!(cause = e.to_string(); "leader row not written"))
             .ok()?;
         self.claim_pending = true;
         self.claim_after = now.plus(CLAIM_PAUSE_MS);
-        Some(ConditionalWrite {
-            preconditions: vec![(own_rows::LEADER_KEY.to_owned(), office.version)],
+        Some(Change {
+            unless_changed: vec![(own_rows::LEADER_KEY.to_owned(), own_row.version)],
             put: vec![(own_rows::LEADER_KEY.to_owned(), value)],
         })
     }
@@ -470,7 +470,7 @@
 }
 
 fn assignment_write(
-    office: &LeaderRow,
+    own_row: &LeaderRow,
     service: ServiceName,
     row: Assignment,
     expected: Version,
@@ -480,9 +480,9 @@
     Ok(AssignmentWrite {
         service,
         row,
-        change: ConditionalWrite {
-            preconditions: vec![
-                (own_rows::LEADER_KEY.to_owned(), office.version),
+        change: Change {
+            unless_changed: vec![
+                (own_rows::LEADER_KEY.to_owned(), own_row.version),
                 (key.clone(), expected),
             ],
             put: vec![(key, value)],
--- a/crates/citronway/src/gateway/control/mod.rs
+++ b/crates/citronway/src/gateway/control/mod.rs
@@ -194,7 +194,7 @@
         settings: PathBuf,
         ready: Ready,
         metrics: Metrics,
-        ends: Channels,
+        channels: Channels,
     ) -> Self {
         let started = clock::mono();
         Self {
@@ -209,14 +209,14 @@
             settings,
             ready,
             metrics,
-            view: ends.view,
-            seen: ends.seen,
-            trial_events: ends.trials,
+            view: channels.view,
+            seen: channels.seen,
+            trial_events: channels.trials,
             trials: TrialState::default(),
-            cold_asks: ends.cold,
+            cold_asks: channels.cold,
             cold: ColdSendState::default(),
-            stop: ends.stop,
-            signals: ends.signals,
+            stop: channels.stop,
+            signals: channels.signals,
             orders: OrderClient::default(),
             report_number: 0,
             unreported: report::Seen::default(),
@@ -338,20 +338,20 @@
             }
             Event::OrderDone { order, result } => {
                 self.metrics.ordered(&order.kind, &result);
-                self.leadership.order_done(now, &order, &result);
+                self.leadership.on_order_done(now, &order, &result);
             }
             Event::WriteDone { service, result } => {
                 if let WriteResult::Done(row, version) = &result {
                     self.relay_write(now, socket, &service, row, *version);
                 }
-                self.leadership.write_done(now, &service, result);
+                self.leadership.on_write_done(now, &service, result);
             }
             Event::ClaimDone => {
-                self.leadership.claim_done();
+                self.leadership.on_claim_done();
                 // One that rests has nobody yet who would pass the row on.
                 self.poll_control(Table::Own).refresh.notify_one();
             }
-            Event::CrashesWritten { done } => self.crashes_written(now, done),
+            Event::CrashesWritten { done } => self.on_crashes_written(now, done),
             Event::Registered => {
                 self.registration = Registration::Done;
                 log::info!("instance is listed in the store");
@@ -361,7 +361,7 @@
                 after,
                 reply,
             } => self.send_copy(table, after, reply),
-            Event::CopyDone { table, copy } => self.copy_done(now, table, copy),
+            Event::CopyDone { table, copy } => self.on_copy_done(now, table, copy),
         }
     }
 
@@ -385,7 +385,7 @@
             tokio::spawn(async move {
                 let result = write_row(address, &write).await;
                 let service = write.service;
-                // Nobody is left to be told when the process ends.
+                // Nobody is left to be told when the process channels.
                 let _ = events.send(Event::WriteDone { service, result }).await;
             });
         }
--- a/crates/citronway/src/gateway/control/own_rows.rs
+++ b/crates/citronway/src/gateway/control/own_rows.rs
@@ -23,7 +23,7 @@
 pub(super) const CRASHES_KEY: &str = "crashes";
 
 /// Keys of assignments begin so; the service follows.
-const ASSIGNMENT_PREFIX: &str = "keys/";
+const KEYS_PREFIX: &str = "keys/";
 
 /// Keys of the instances' rows begin so; the name follows.
 const INSTANCE_PREFIX: &str = "instance/";
@@ -47,7 +47,7 @@
             let Some(value) = &row.value else { continue };
             let applied = if key == LEADER_KEY {
                 self.apply_leader_row(now, row.version, value)
-            } else if let Some(service) = key.strip_prefix(ASSIGNMENT_PREFIX) {
+            } else if let Some(service) = key.strip_prefix(KEYS_PREFIX) {
                 self.apply_assignment_row(&ServiceName::new(service), row.version, value)
             } else if let Some(name) = key.strip_prefix(INSTANCE_PREFIX) {
                 self.apply_instance_row(&InstanceName::new(name), value)
@@ -160,10 +160,7 @@
     /// Whether a row is an assignment that is known already, and was passed on when it was
     /// written.
     fn is_known_assignment(&self, row: &Row) -> bool {
-        let service = row
-            .key
-            .strip_prefix(ASSIGNMENT_PREFIX)
-            .map(ServiceName::new);
+        let service = row.key.strip_prefix(KEYS_PREFIX).map(ServiceName::new);
         let known = service.and_then(|service| self.owners.get(&service));
         known.is_some_and(|known| known.version >= row.version)
     }
@@ -194,7 +191,7 @@
     }
 
     fn patch_for(&self, row: &Row) -> Option<Patch> {
-        let service = ServiceName::new(row.key.strip_prefix(ASSIGNMENT_PREFIX)?);
+        let service = ServiceName::new(row.key.strip_prefix(KEYS_PREFIX)?);
         let value = row.value.as_deref()?;
         let known = self.owners.get(&service)?;
         if known.version >= row.version {
@@ -220,7 +217,7 @@
     }
 
     fn row_to_patch(&self, patch: &Patch) -> Option<&Owners> {
-        let service = patch.key.strip_prefix(ASSIGNMENT_PREFIX)?;
+        let service = patch.key.strip_prefix(KEYS_PREFIX)?;
         self.owners.get(&ServiceName::new(service))
     }
 
@@ -233,7 +230,7 @@
         }
         match known.assignment.with_changes(&patch.change) {
             Ok(assignment) => {
-                let service = ServiceName::new(patch.key.trim_start_matches(ASSIGNMENT_PREFIX));
+                let service = ServiceName::new(patch.key.trim_start_matches(KEYS_PREFIX));
                 self.set_owners(&service, patch.version, assignment);
                 self.own.observe_version(patch.version.0);
                 self.changed = true;
@@ -247,7 +244,7 @@
 
 /// Whether a key of any table is that of an assignment.
 pub(super) fn is_assignment(key: &str) -> bool {
-    key.starts_with(ASSIGNMENT_PREFIX)
+    key.starts_with(KEYS_PREFIX)
 }
 
 /// Whether a key of the own table is that of an instance's row.
@@ -284,7 +281,7 @@
 
 /// Key of a service's assignment.
 pub(super) fn assignment_key(service: &ServiceName) -> String {
-    format!("{ASSIGNMENT_PREFIX}{service}")
+    format!("{KEYS_PREFIX}{service}")
 }
 
 /// Stored form of a leader's row.
--- a/crates/citronway/src/gateway/control/peers.rs
+++ b/crates/citronway/src/gateway/control/peers.rs
@@ -277,9 +277,9 @@
     /// uses up second sends that all share. So the last number that was told holds on.
     pub(super) fn instance_count(&self, now: Mono) -> usize {
         let heard = self.heard_count(now) + 1;
-        let told = self.fleet.count() as usize;
-        if told > 0 {
-            return told.max(heard);
+        let reported = self.fleet.count() as usize;
+        if reported > 0 {
+            return reported.max(heard);
         }
         if self.is_large_fleet(now) {
             return self.all.len().max(heard);
@@ -301,10 +301,10 @@
 
     /// The newest versions that any instance has seen.
     pub(super) fn newest(&self, now: Mono) -> Versions {
-        let told = self.fresh_totals(now).map(|totals| totals.seen);
+        let from_totals = self.fresh_totals(now).map(|totals| totals.seen);
         let reported = self.fresh(now).map(|(_, peer)| peer.seen);
         reported
-            .chain(told)
+            .chain(from_totals)
             .fold(Versions::default(), Versions::newer)
     }
 
