--- a/crates/citronway/src/gateway/control/cluster/copies.rs
+++ b/crates/citronway/src/gateway/control/cluster/copies.rs
@@ -1,4 +1,4 @@
-//! What this instance gives of its rows to others, and takes from them.
+//! Copies of tables for other instances, and copies taken from them.
 
 use citronway_core::gateway::rows::{Relay, Row, Table};
 use citronway_core::ids::Version;
@@ -9,10 +9,11 @@
 use super::{BEHIND_MS, Cluster};
 
 impl Cluster {
-    /// What a whole list changes of what is known: rows that are newer, and removals.
+    /// The changes that bring what this instance knows of a table to `rows`, a list of all
+    /// its rows: newer rows, and removals.
     ///
-    /// Failure: the store forgets its history, the leader reads a table anew and passes
-    /// nothing on, and all instances read it too.
+    /// Failure: the store drops its history and the leader reads a table again. If it
+    /// relayed nothing, all other instances would read the table too.
     pub(in super::super) fn changes_from_list(
         &self,
         table: Table,
@@ -54,21 +55,22 @@
         }
     }
 
-    /// Whether a table cannot be had from the store at present.
+    /// Whether the store can't provide a table at present: it was never read, or the last
+    /// call failed.
     pub(in super::super) fn needs_copy(&mut self, table: Table) -> bool {
         let state = self.table_state(table);
         state.lost || !state.loaded
     }
 
-    /// Takes a table as another instance has it, since the store cannot be asked.
+    /// Applies a table as another instance knows it, while the store can't be read.
     ///
-    /// The store stays lost until it answers this instance itself: what it says then goes
-    /// before the copy, which is only as new as its giver was.
+    /// The store counts as lost until it answers this instance itself. Its answer then
+    /// takes precedence, as a copy is only as new as the instance that sent it.
     pub(in super::super) fn apply_copy(&mut self, now: Mono, copy: &Relay) {
         let (table, rows) = (copy.table.word(), copy.rows.len());
         log::info!(table, rows, position = copy.position.0; "table copied from another instance");
         let whole = match copy.table {
-            // What is not among all of them is gone.
+            // A copy of all rows removes those that it lacks.
             Table::Config | Table::Endpoints if copy.after == Version(0) => Some(copy.position),
             Table::Config | Table::Endpoints | Table::Own => None,
         };
@@ -76,8 +78,8 @@
         self.table_state(copy.table).advance_position(copy.position);
     }
 
-    /// Whether rows of a table that are missed are to come from the store this time: another
-    /// instance was asked a moment ago, and they still are.
+    /// Whether missed rows of a table must be read from the store: another instance was
+    /// asked for them a moment ago, and they are still missing.
     pub(in super::super) fn needs_store_read(&mut self, now: Mono, table: Table) -> bool {
         let state = self.table_state(table);
         let requested_at = state.missed_requested_at.replace(now);
@@ -88,7 +90,8 @@
         is_recent
     }
 
-    /// The rows of a table after a version as this instance knows them, if it has read it.
+    /// Rows of a table that are newer than a version, as this instance knows them; `None`
+    /// if it has never read the table.
     pub(in super::super) fn copy_since(&mut self, table: Table, after: Version) -> Option<Relay> {
         let state = self.table_state(table);
         if !state.loaded {
--- a/crates/citronway/src/gateway/control/cluster/evacuations.rs
+++ b/crates/citronway/src/gateway/control/cluster/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuations of availability zones, as rows of the operator's table say them.
+//! Evacuations of availability zones, as stored in the operator's table.
 
 use std::sync::Arc;
 
@@ -12,8 +12,9 @@
 use super::Cluster;
 
 impl Cluster {
-    /// Takes rows of the operator's table; `learnt` is when an evacuation among them was, if it
-    /// began after the table was first read, `whole` the version of the store if these are all.
+    /// Applies rows of the operator's table. `learned_at` is the start of evacuations among
+    /// them, or `None` if they began before the table was first read. `whole` is the
+    /// version of the store if `rows` are all rows of the table.
     pub(super) fn apply_evacuation_rows(
         &mut self,
         now: Mono,
@@ -51,7 +52,8 @@
         Arc::make_mut(&mut self.registry).set_evacuated(now, zones);
     }
 
-    /// What a row says of a zone; none if it cannot be read, and what is known holds on.
+    /// State of a zone by its row; `None` if the row is malformed, and the known state
+    /// stays.
     fn evacuation_state(
         &mut self,
         zone: &ZoneName,
@@ -71,7 +73,7 @@
         Some(ZoneState::Evacuated { since: learned_at })
     }
 
-    /// Evacuated zones, and ranges of keys whose owners are there.
+    /// Number of evacuated zones, and of ranges of keys whose owners are in them.
     pub(in super::super) fn count_evacuated(&self) -> (usize, usize) {
         let zones = self.evacuations.evacuated().count();
         if zones == 0 {
--- a/crates/citronway/src/gateway/control/cluster/load.rs
+++ b/crates/citronway/src/gateway/control/cluster/load.rs
@@ -1,4 +1,4 @@
-//! What this instance believes of the load that all instances bring to endpoints.
+//! Load of endpoints, summed over all instances.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -12,11 +12,12 @@
 use super::super::own_rows;
 use super::Cluster;
 
-/// Most endpoints of which sums are told at once: 16 KB. Of the others, fewer requests wait.
+/// Most endpoints whose totals are sent at once: 16 KB. Endpoints with the fewest waiting
+/// requests are left out.
 const MAX_TOTALS: usize = 2_000;
 
 impl Cluster {
-    /// Takes what an instance, this one too, reports of endpoints' answers.
+    /// Adds the endpoints' answers of a report, which may be this instance's own.
     pub(in super::super) fn record_traffic(&mut self, now: Mono, report: &Report) {
         self.last_heard_at = now;
         for used in &report.endpoints {
@@ -24,14 +25,14 @@
         }
     }
 
-    /// Takes what this instance itself has in flight and waiting.
+    /// Sets the requests that this instance itself has in flight and waiting.
     pub(in super::super) fn set_own_use(&mut self, report: &Report) {
         let used = report.endpoints.iter().map(|used| (used.tag, *used));
         self.own_use = used.collect();
     }
 
-    /// Requests of all instances at endpoints that have nearly as many as slots, those where
-    /// most wait first.
+    /// Totals of endpoints whose requests, in flight and waiting, exceed half of their
+    /// slots; those with the most waiting requests first.
     pub(in super::super) fn contended(&self, now: Mono) -> Vec<EndpointTotal> {
         let mut sums = self.peers.sums(now);
         for used in self.own_use.values() {
@@ -46,7 +47,8 @@
             .collect();
         let is_contended = |sum: &EndpointTotal| {
             let wanted = sum.in_flight + sum.waiting;
-            // Requests that wait for no endpoint in particular are told too.
+            // Requests that wait for no particular endpoint count too; their tag has no
+            // slots.
             let slots = slots.get(&sum.tag).copied().unwrap_or_default();
             wanted > 0 && wanted * 2 > slots
         };
@@ -56,7 +58,7 @@
         contended
     }
 
-    /// Takes the sums that the leader tells.
+    /// Applies the totals that the leader sent.
     pub(in super::super) fn apply_totals(&mut self, now: Mono, totals: Totals) {
         self.last_heard_at = now;
         self.update_leader_store(now, &totals);
@@ -77,12 +79,12 @@
         self.peers.set_totals(now, totals);
     }
 
-    /// Notes whether the store answers the leader, by whose rows this instance goes while it
-    /// rests.
+    /// Records whether the store answers the leader, whose relays this instance relies on
+    /// while it is passive.
     ///
-    /// Failure: the store is away, entries of living endpoints lapse, and the leader tells of
-    /// it when the store is back. An instance that did not ask meanwhile would drop them all
-    /// at once.
+    /// Failure: the store is away, entries of living endpoints expire, and the leader
+    /// relays their removal when the store is back. A passive instance has not seen the
+    /// outage itself and would drop all of them at once.
     fn update_leader_store(&mut self, now: Mono, totals: &Totals) {
         let before = self.leader_store.replace((totals.term, totals.store_lost));
         if self.endpoints.lost {
@@ -96,19 +98,19 @@
         let registry = Arc::make_mut(&mut self.registry);
         match (totals.store_lost, same) {
             (true, _) => registry.store_lost(),
-            (false, true) => registry.store_regained(now),
-            // Another leader has it: only the one before was cut off.
-            (false, false) => registry.outage_was_local(),
+            (false, true) => registry.store_back(now),
+            // The store answers the new leader: only the earlier one was cut off.
+            (false, false) => registry.store_went_on(),
         }
     }
 
-    /// The row that names the leader, as it stands in the store.
+    /// The stored row that names the leader; `None` if there is none.
     pub(in super::super) fn kept_leader_row(&self) -> Option<Row> {
         let mut kept = self.kept.rows(Table::Own);
         kept.find(|row| row.key == own_rows::LEADER_KEY).cloned()
     }
 
-    /// Requests of all instances that wait for each endpoint.
+    /// Number of waiting requests of all instances, by endpoint.
     pub(in super::super) fn waiting(&self, now: Mono) -> IndexMap<EndpointTag, u32> {
         let mut waiting = self.peers.waiting(now);
         for (tag, own) in &self.own_use {
--- a/crates/citronway/src/gateway/control/cluster/mod.rs
+++ b/crates/citronway/src/gateway/control/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! What this instance believes of the configuration, endpoints, owners and peers.
+//! What this instance knows of the configuration, endpoints, owners of keys and other
+//! instances.
 
 mod copies;
 mod evacuations;
@@ -29,43 +30,43 @@
 use super::store::TableUpdate;
 use super::unusable::{Source, Unusable};
 
-/// For how long others may have newer rows before a poll is taken for dead, in
-/// milliseconds. Polls are answered within a few milliseconds of a change.
+/// Time in milliseconds for which others may have newer rows of a table before its poll
+/// counts as hung. Polls are answered within a few milliseconds of a change.
 const BEHIND_MS: u64 = 400;
 
-/// The same for a table that was never read, in milliseconds: the store answers a start
-/// within 20 ms when all is well, and callers are refused until then.
+/// Like [`BEHIND_MS`], for a table that was never read: the store answers a start within 20
+/// ms when all is well, and callers are refused until then.
 const NEVER_READ_MS: u64 = 100;
 
-/// Silence of the store and of all peers after which this instance takes itself for
-/// cut off, in milliseconds.
+/// Silence of the store and of all other instances, in milliseconds, after which this
+/// instance considers itself cut off.
 const CUT_OFF_MS: u64 = 4_000;
 
-/// What an answer, or none, says of the store.
+/// Change of the store's reachability that a poll showed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StoreStatus {
-    /// It answers as before.
+    /// The store answers as before.
     Steady,
-    /// It does not answer or refuses.
+    /// The store does not answer, or refuses this instance.
     Lost,
-    /// It answers again.
+    /// The store answers again after it was lost.
     Regained,
 }
 
-/// A table as far as it is followed.
+/// How far a table is known.
 #[derive(Debug, Default)]
 pub(super) struct TableState {
-    /// Newest version of a row that was seen.
+    /// Newest version among the rows that were seen.
     newest: u64,
     /// Position in the table's history up to which all rows were taken.
     pub(super) position: u64,
     /// The last call failed.
     lost: bool,
-    /// Since when others have seen newer rows.
+    /// Since when others are known to have newer rows.
     behind_since: Option<Mono>,
-    /// When another instance was asked for rows that were lost on the way.
+    /// When another instance was last asked for rows that were lost on the way.
     missed_requested_at: Option<Mono>,
-    /// It was read at least once.
+    /// The table was read or copied at least once.
     loaded: bool,
 }
 
@@ -77,27 +78,27 @@
     pub registry: Arc<Registry>,
     pub owners: IndexMap<ServiceName, Owners>,
     pub leader: Option<LeaderRow>,
-    /// When the present leader was first seen.
+    /// When the current leader was first seen.
     pub leader_seen: Mono,
     pub peers: Peers,
     pub paces: EndpointPaces,
     pub crashes: Crashes,
     pub evacuations: Evacuations,
-    /// Time for an evacuation, in milliseconds.
+    /// Time allowed for an evacuation, in milliseconds.
     evacuation_ms: u64,
     config: TableState,
     endpoints: TableState,
     outage: Outage,
     pub(super) own: TableState,
-    /// Last reading of the store's clock, and when it came.
+    /// Last reading of the store's clock in milliseconds, and when it came.
     store_clock: Option<(u64, Mono)>,
-    /// Term of the leader that was heard last, and whether the store did not answer it.
+    /// Term of the last leader that sent totals, and whether the store was lost for it.
     leader_store: Option<(u64, bool)>,
-    /// What this instance itself has at each endpoint or wants to send there.
+    /// Requests that this instance itself has in flight and waiting, by endpoint.
     own_use: IndexMap<EndpointTag, EndpointUse>,
-    /// Newest version of each endpoint's entry, of removed ones too.
+    /// Newest version of each endpoint's entry, also of removed ones.
     pub(super) entries: IndexMap<String, Version>,
-    /// Where this instance and the store listen.
+    /// Addresses of this instance and of the store, which no endpoint may have.
     pub(super) own_addresses: [SocketAddr; 5],
     last_heard_at: Mono,
     pub(super) unusable: Unusable,
@@ -106,13 +107,13 @@
 }
 
 impl TableState {
-    /// Notes a row of this version.
+    /// Records that a row of this version was seen.
     pub(super) fn observe_version(&mut self, version: u64) {
         self.newest = self.newest.max(version);
         self.behind_since = None;
     }
 
-    /// Notes that all rows up to a position were taken.
+    /// Records that all rows up to a position were taken.
     fn advance_position(&mut self, position: Version) {
         self.position = self.position.max(position.0);
     }
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Takes news of a table; tells what they say of the store.
+    /// Applies the result of a poll; returns how the store's reachability changed.
     pub(super) fn apply_update(
         &mut self,
         now: Mono,
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Takes rows that the leader passed on.
+    /// Applies rows that the leader relayed.
     pub(super) fn apply_relay(&mut self, now: Mono, relay: &Relay) {
         self.last_heard_at = now;
         self.mark_regained(now, relay.table);
@@ -210,24 +211,25 @@
             .advance_position(relay.position);
     }
 
-    /// Order of this instance among all.
+    /// Rank of this instance, by which all instances are ordered.
     pub(super) const fn rank(&self) -> u64 {
         self.rank
     }
 
-    /// Where the leader takes reports.
+    /// Address to which the leader's reports go; `None` if it is not known.
     pub(super) fn leader_address(&self) -> Option<SocketAddr> {
         let leader = self.leader.as_ref()?;
         self.peers.address(&leader.instance)
     }
 
-    /// Takes rows of a table; `whole` is the version of the store if these are all.
+    /// Applies rows of a table. `whole` is the version of the store if `rows` are all rows
+    /// of the table.
     fn apply_rows(&mut self, now: Mono, table: Table, rows: &[Row], whole: Option<Version>) {
         if rows.is_empty() && whole.is_none() {
             return;
         }
-        // Rows of instances are not passed on in large fleets, and nobody misses them; the
-        // leader's is told apart from the rest.
+        // Only sequenced rows show a gap: in large fleets rows of instances are not
+        // relayed, and the leader's row comes apart from the others, with the totals.
         let sequenced = rows.iter().filter(|row| own_rows::is_sequenced(&row.key));
         let newest = sequenced.map(|row| row.version.0).max().unwrap_or_default();
         let state = self.table_state(table);
@@ -267,11 +269,11 @@
             return StoreStatus::Steady;
         }
         state.lost = false;
-        // Failure: this instance alone was cut off, and takes the entry of an endpoint
-        // that has left meanwhile for one that lapsed with the store. Others that saw
-        // newer rows show that the store went on.
-        let store_went_on = self.outage.is_local();
-        log::info!(table = table.as_str(), store_went_on; "store regained");
+        // Failure: this instance alone was cut off, and takes the entry of an endpoint that
+        // left meanwhile for one that expired with the store. Others that saw newer rows
+        // show that the store was up.
+        let store_went_on = self.outage.is_own();
+        log::info!(table = table.word(), store_went_on; "store regained");
         if table == Table::Endpoints {
             let registry = Arc::make_mut(&mut self.registry);
             if store_went_on {
@@ -309,13 +311,13 @@
         }
     }
 
-    /// Whether a leader is heard, fit or not.
+    /// Whether the leader is heard, also if it is unfit.
     pub(super) fn hears_leader(&self, now: Mono) -> bool {
         let leader = self.leader.as_ref();
         leader.is_some_and(|row| self.peers.hears(now, row))
     }
 
-    /// Drops entries of endpoints that stayed missing after an outage.
+    /// Drops entries of endpoints that stayed missing after an outage of the store.
     pub(super) fn expire(&mut self, now: Mono) {
         if self.registry.has_expired(now) {
             self.changed |= Arc::make_mut(&mut self.registry).expire(now);
@@ -326,7 +328,7 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Names of services whose endpoints divide the keys.
+    /// Names of services whose keys are divided among their endpoints.
     pub(super) fn sharded(&self) -> Vec<ServiceName> {
         let Some(routes) = &self.routes else {
             return Vec::new();
@@ -338,7 +340,7 @@
         sharded.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Whether callers are served better here than nowhere.
+    /// Whether this instance knows enough to serve callers, and is not cut off.
     pub(super) fn is_ready(&self, now: Mono) -> bool {
         let store_lost = self.config.lost && self.endpoints.lost && self.own.lost;
         let cut_off = store_lost && self.peers.heard_count(now) == 0;
@@ -349,30 +351,31 @@
         self.routes.is_some() && known && !(cut_off && now.since(self.last_heard_at) > CUT_OFF_MS)
     }
 
-    /// Whether the store refuses or does not answer this instance.
+    /// Whether the store does not answer, or refuses, this instance.
     pub(super) const fn store_lost(&self) -> bool {
         self.own.lost
     }
 
-    /// Whether a fit leader is heard, which passes rows on.
+    /// Whether the leader is heard and fit, so that it relays rows.
     pub(super) fn has_relaying_leader(&self, now: Mono) -> bool {
         self.leader
             .as_ref()
             .is_some_and(|row| self.peers.leader_relays_rows(now, row))
     }
 
-    /// Ranges of all services.
+    /// Number of assigned ranges of all services.
     pub(super) fn ranges(&self) -> usize {
         let rows = self.owners.values();
         rows.map(|owners| owners.assignment.ranges.len()).sum()
     }
 
-    /// The store's clock now, in milliseconds; a little behind, never ahead.
+    /// Estimate of the store's clock in milliseconds, a little behind and never ahead;
+    /// `None` before the first answer.
     pub(super) fn store_ms(&self, now: Mono) -> Option<u64> {
         self.store_clock.map(|(ms, at)| ms + now.since(at))
     }
 
-    /// Whether the store lists this instance at its address already.
+    /// Whether the store lists this instance with the address and zone of `row`.
     pub(super) fn is_listed_as(&self, row: &InstanceRow) -> bool {
         let key = own_rows::instance_key(&row.session.instance);
         let mut kept = self.kept.rows(Table::Own);
@@ -383,7 +386,7 @@
         listed.is_some_and(|listed| listed.address == row.address && listed.zone == row.zone)
     }
 
-    /// Whether own rows were read at least once.
+    /// Whether the table of own rows was read or copied at least once.
     pub(super) const fn own_loaded(&self) -> bool {
         self.own.loaded
     }
@@ -396,17 +399,17 @@
         }
     }
 
-    /// Whether others know a leader whose row this instance has not seen.
+    /// Whether others know a leader of `term` whose row this instance has not seen.
     ///
-    /// Failure guarded against: the row that names a new leader is missed, and rows that it
-    /// passes on move the position beyond it. Asked for what came since, the store no longer
-    /// tells of it, and the instance goes without a leader until the next one.
+    /// Failure guarded against: the row that names a new leader is missed, and rows that
+    /// the leader relays move the position past it. A poll from that position no longer
+    /// returns the row, and the instance has no leader until the next one is elected.
     pub(super) fn lacks_leader(&self, term: u64) -> bool {
         self.own.loaded && self.leader.as_ref().map_or(0, |row| row.term) < term
     }
 
-    /// Tables of which others have had newer rows for longer than a poll takes; `term` is the
-    /// highest of a leader that was heard of.
+    /// Tables of which others have had newer rows for longer than a poll takes; `term` is
+    /// the highest known term of a leader.
     pub(super) fn stale_tables(&mut self, now: Mono, term: u64) -> Vec<Table> {
         let newest = self.peers.newest(now);
         self.outage.observe(now, self.endpoints.lost, newest);
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -1,4 +1,5 @@
-//! The leader's duty on this instance: claiming it, and keeping while it has it.
+//! Leadership of this instance: claims it in an election, and acts as the leader while it
+//! has it.
 
 use citronway_core::gateway::assignment::{Assignment, RowError};
 use citronway_core::gateway::cold::{self, LeaderStanding};
@@ -19,18 +20,19 @@
 use super::placing::Placer;
 use super::store::{IDLE_WAIT_MS, LEADER_WAIT_MS};
 
-/// Time between two claims that failed, in milliseconds.
+/// Pause after a claim before the next one, in milliseconds.
 const CLAIM_PAUSE_MS: u64 = 500;
 
-/// How far the store's clock may be ahead of what is reckoned of it, in milliseconds:
-/// the time that an answer takes when the store is slowed sixtyfold, twice over.
+/// Margin in milliseconds by which the store's clock may be ahead of the estimate of it:
+/// twice the time that an answer takes when the store is slowed sixtyfold.
 const CLOCK_MARGIN_MS: u64 = 500;
 
-/// Age of the last confirmation at which a leader gives the duty up, in
-/// milliseconds: longer than a poll with its limit, well before its grants have to end.
+/// Age of the store's last confirmation, in milliseconds, at which a leader counts as
+/// unfit, so that others claim leadership: longer than a poll with its timeout, and well
+/// before its grants have to end.
 const UNCONFIRMED_MS: u64 = 2_500;
 
-/// A row to be written.
+/// A conditional write of the assignment of a service.
 #[derive(Debug)]
 pub(super) struct AssignmentWrite {
     pub service: ServiceName,
@@ -38,13 +40,13 @@
     pub change: ConditionalWrite,
 }
 
-/// What is due.
+/// Work that [`Leadership::step`] found to be due.
 #[derive(Debug)]
 pub(super) struct DueActions {
     pub orders: Vec<Order>,
     pub writes: Vec<AssignmentWrite>,
     pub claim: Option<Change>,
-    /// How long to wait at the store for changes, in milliseconds.
+    /// Longest wait of a poll of the store for changes, in milliseconds.
     pub wait_ms: u64,
 }
 
@@ -52,29 +54,30 @@
 pub(super) struct Leadership {
     me: Session,
     strength: Strength,
-    /// Since when a leader could know of this instance.
+    /// Time from which on a leader can know of this instance.
     known_since: Mono,
     cfg: LeaderSettings,
     leaders: IndexMap<ServiceName, Leader>,
     placer: Placer,
-    /// Row by which this instance is in office.
+    /// The leader's row that names this instance; `None` while another instance leads.
     leadership_row: Option<LeaderRow>,
-    /// Highest term that was heard of.
+    /// Highest term of any leader that is known.
     term: u64,
     confirmed_at: Mono,
     claim_pending: bool,
     claim_after: Mono,
-    /// When the first claim was sent that replaces a version of the leader's row, and which.
+    /// The version of the leader's row that a claim is to replace, and when the first claim
+    /// for it was sent.
     first_claim: Option<(Version, Mono)>,
     rivals_stopped: bool,
-    /// What earlier leaders may still do.
-    rivals: PredecessorLimits,
-    /// Why this instance is not fit to lead, as it was last logged.
+    /// What earlier leaders may still do, and until when.
+    rivals: Rivals,
+    /// The cause of unfitness that was last logged; `None` if this instance was fit.
     logged_unfit_cause: Option<&'static str>,
 }
 
 impl Leadership {
-    /// `known_since` is when a leader can know of this instance at the latest.
+    /// `known_since` is the latest time from which on a leader can know of this instance.
     pub(super) fn new(me: Session, strength: Strength, known_since: Mono) -> Self {
         Self {
             me,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Notes that the store lists this instance since before its start.
+    /// Records that the store has listed this instance since `started`.
     pub(super) fn set_known_since(&mut self, started: Mono) {
         self.known_since = started;
     }
@@ -109,9 +112,9 @@
             return;
         }
         self.term = term;
-        // Failure: a leader that cannot reach the store does not see that it was
-        // replaced, and grants beside its successor. Any instance that knows of the
-        // successor stops it.
+        // Failure: a leader that cannot reach the store does not see that it was replaced,
+        // and grants keys at the same time as its successor. Any instance that knows the
+        // successor's term makes it step down.
         if self
             .leadership_row
             .as_ref()
@@ -121,12 +124,12 @@
         }
     }
 
-    /// Whether this instance should not keep.
+    /// Whether this instance must not lead.
     pub(super) fn is_unfit(&self, now: Mono, cluster: &Cluster) -> bool {
         self.unfit_cause(now, cluster).is_some()
     }
 
-    /// Why this instance should not keep, if there is a reason.
+    /// The reason why this instance must not lead; `None` if it is fit.
     fn unfit_cause(&self, now: Mono, cluster: &Cluster) -> Option<&'static str> {
         if cluster.store_lost() {
             return Some("the store does not answer");
@@ -150,12 +153,13 @@
         }
     }
 
-    /// Whether this instance is the leader as far as it knows.
+    /// Whether this instance is the leader, as far as it knows.
     pub(super) const fn is_leader(&self) -> bool {
         self.leadership_row.is_some()
     }
 
-    /// Which part of all sends to cold endpoints this leader grants now.
+    /// Part of all sends to cold endpoints that this leader may grant now, from 0 to 1;
+    /// `None` if this instance does not lead.
     pub(super) fn cold_part(&self, now: Mono) -> Option<f64> {
         let row = self.leadership_row.as_ref()?;
         let state = Office {
@@ -166,12 +170,13 @@
         cold::granted_part(now, &self.cfg, &state)
     }
 
-    /// Version of the row by which this instance leads, while it does.
+    /// Version of the leader's row by which this instance leads; `None` if it does not.
     pub(super) fn row_version(&self) -> Option<Version> {
         self.leadership_row.as_ref().map(|row| row.version)
     }
 
-    /// Takes rows that another instance passed on; they confirm nothing.
+    /// Takes rows that another instance relayed. They do not confirm this instance as the
+    /// leader.
     pub(super) fn take_relayed_rows(&mut self, cluster: &Cluster) {
         self.update_assignments(cluster);
         let Some(row) = &cluster.leader else { return };
@@ -190,12 +195,14 @@
         }
     }
 
-    /// Takes the rows as believed after an answer to a call sent at `asked`; `whole` if it
-    /// brought all of them. Returns whether all are to be read first, because this instance is
-    /// to lead and knows rows only as a leader passed them on.
+    /// Takes the rows of `cluster` after the store answered a poll that was sent at
+    /// `sent_at`; `whole` if the answer had all rows of the table. Returns true if all rows
+    /// must be read from the store before this instance may lead, since it knows them from
+    /// relays only.
     ///
-    /// Failure: a relayed row was lost, and the next leader goes by an assignment that the
-    /// store no longer has. It renews holds of an endpoint whose keys have another owner.
+    /// Failure: a relayed row is lost, and the next leader starts from an assignment that
+    /// the store no longer has. It renews holds of an endpoint whose keys have another
+    /// owner.
     pub(super) fn take_store_rows(
         &mut self,
         now: Mono,
@@ -254,7 +261,8 @@
         }
     }
 
-    /// What earlier leaders may still do, if none is known to have stopped.
+    /// What earlier leaders may still do, on the assumption that none is known to have
+    /// stopped.
     fn rivals(&self, now: Mono, cluster: &Cluster) -> Rivals {
         let former = self
             .leadership_row
@@ -290,7 +298,7 @@
         }
     }
 
-    /// Whether a write of the leader's row is under way.
+    /// Whether a write of the leader's row is in progress.
     pub(super) const fn is_claim_pending(&self) -> bool {
         self.claim_pending
     }
@@ -299,19 +307,19 @@
         self.claim_pending = false;
     }
 
-    /// Takes the usual time of work at each service.
+    /// Sets the typical service time of each service, in milliseconds.
     pub(super) fn set_work_ms(&mut self, work_ms: &[(ServiceName, f64)]) {
         self.placer.set_work_ms(work_ms);
     }
 
-    /// Takes the keys that an instance, this one too, was asked for.
+    /// Adds the sampled keys of a report, which may be this instance's own.
     pub(super) fn record_traffic(&mut self, now: Mono, report: &Report) {
         if self.leadership_row.is_some() {
             self.placer.record_traffic(now, report);
         }
     }
 
-    /// What is due now.
+    /// Returns the actions that are due, and logs changes of fitness.
     pub(super) fn step(&mut self, now: Mono, cluster: &mut Cluster, stopping: bool) -> DueActions {
         self.log_fitness(now, cluster);
         let claim = self.claim(now, cluster, stopping);
@@ -355,7 +363,7 @@
         due
     }
 
-    /// Lifts the wait for earlier leaders once all are known to have stopped.
+    /// Ends the wait for earlier leaders as soon as all of them are known to have stopped.
     fn end_rival_wait(&mut self, now: Mono, own_row: &LeaderRow, cluster: &Cluster) {
         if self.rivals_stopped || own_row.former.is_empty() {
             return;
@@ -375,11 +383,12 @@
         }
     }
 
-    /// Takes earlier leaders out of the row once they cannot have given holds.
+    /// Removes earlier leaders from the leader's row once all holds that they may have
+    /// granted have ended.
     ///
-    /// Failure: an instance that kept is gone for good and never says that it has
-    /// stopped. Left in the row, each later leader would wait for it anew before it
-    /// gives the keys of a dead endpoint to another.
+    /// Failure: an earlier leader is gone for good and never reports that it has stopped.
+    /// If it stayed in the row, each later leader would wait for it again before it assigns
+    /// the keys of a dead endpoint to another one.
     fn remove_former_leaders(&mut self, now: Mono) -> Option<Change> {
         let own_row = self
             .leadership_row
@@ -424,8 +433,8 @@
         }
     }
 
-    /// Whether this instance is among those that follow the store while nobody tells the
-    /// others of it.
+    /// Whether this instance is one of the few that poll the store while no leader relays
+    /// rows.
     pub(super) fn watches(&self, now: Mono, cluster: &Cluster) -> bool {
         let peers = cluster.peers.sights();
         election::watches_store(now, &self.situation(now, false, cluster, &peers))
--- a/crates/citronway/src/gateway/control/following.rs
+++ b/crates/citronway/src/gateway/control/following.rs
@@ -1,4 +1,5 @@
-//! When this instance asks the store, and when it rests because others tell it.
+//! When this instance polls the store, and when it is passive because the leader relays
+//! rows.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,25 +11,25 @@
 use super::store::{ENTRIES_BATCH_MS, OWN_BATCH_MS, PollControl, TablePoller};
 use super::{Control, Event, first};
 
-/// Time after the start in which the leader's relays are waited for, in milliseconds:
-/// its election takes up to 1 s where all instances start together, and changes have to
-/// be in force within 2 s.
+/// Time after the start for which this instance waits for the leader's relays, in
+/// milliseconds: an election takes up to 1 s where all instances start together, and
+/// changes must be in force within 2 s.
 const STARTUP_PASSIVE_MS: u64 = 1_200;
 
-/// How long this instance rests on after the leader has stopped to pass rows on, in
+/// Time for which this instance stays passive after the leader's relays have stopped, in
 /// milliseconds.
 ///
-/// Load: a leader that is lost had each of 89 instances ask for three tables at once, 640
-/// calls. A successor is there 0.4 s after the silence is noticed; changes have to be in
+/// Load: when the leader was lost, each of 89 instances asked for three tables at once, 640
+/// calls. A successor is there 0.4 s after the silence is noticed, and changes must be in
 /// force within 2 s.
 const RELAY_GRACE_MS: u64 = 700;
 
-/// Instances up to which all of them ask a silent store at the usual pace; with more, those
-/// that do not watch it ask so much less often.
+/// Number of instances up to which all poll a silent store at the normal rate. In larger
+/// fleets, those that do not watch the store lengthen their pauses in proportion.
 const FULL_RATE_INSTANCES: u64 = 12;
 
 impl Control {
-    /// Begins to follow all tables.
+    /// Starts a poller for each table.
     pub(super) fn start_polling(&self, events: &mpsc::Sender<Event>) {
         let awaits_copy = first::starts_from_copies(&self.cfg);
         for (table, control) in &self.polls {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// How a table is followed.
+    /// State shared with the poller of a table.
     pub(super) fn poll_control(&self, table: Table) -> &PollControl {
         match table {
             Table::Config => &self.polls[0].1,
@@ -55,14 +56,15 @@
         }
     }
 
-    /// Has all rows of the own table read, those of instances too, which are not passed on.
+    /// Makes the poller read all rows of the own table, including rows of instances, which
+    /// are not relayed.
     pub(super) fn reload_own_rows(&self) {
         let control = self.poll_control(Table::Own);
         control.reload.store(true, Ordering::Relaxed);
         control.refresh.notify_one();
     }
 
-    /// Has tables that were not answered asked for now.
+    /// Makes the pollers of lost tables ask the store at once.
     pub(super) fn retry_lost_tables(&self) {
         for (table, control) in &self.polls {
             if self.cluster.is_lost(*table) {
@@ -71,8 +73,8 @@
         }
     }
 
-    /// Has tables read anew of which others have seen newer versions for a while, or copied
-    /// from one of them where the store does not answer.
+    /// Refreshes tables of which others have had newer versions for a while, or copies them
+    /// from another instance where the store does not answer.
     pub(super) fn refresh_stale_tables(&mut self, now: Mono, events: &mpsc::Sender<Event>) {
         let awaits_copies = self.awaits_copies();
         for table in self.cluster.stale_tables(now, self.leadership.term()) {
@@ -93,18 +95,19 @@
         }
     }
 
-    /// Rests while a fit leader passes rows on, and asks the store otherwise.
+    /// Makes this instance passive while a fit leader relays rows, and makes it poll
+    /// otherwise.
     pub(super) fn update_polling(&mut self, now: Mono) {
         let is_leader = self.leadership.is_leader();
-        // A leader that is there is heard within a moment; polls of all instances that
-        // start together would be answered anew with each one that lists itself.
-        // It is called once it is listed.
+        // A present leader is heard within a moment of this instance's listing. Polls of
+        // instances that start together would be answered again each time that one of them
+        // lists itself.
         let startup_passive_ms = STARTUP_PASSIVE_MS + first::register_after_ms(&self.cfg);
         let is_starting = now.since(self.started) < startup_passive_ms;
         let relies_on_relays = self.can_rely_on_relays(now);
         let is_passive = !is_leader && (is_starting || relies_on_relays);
-        // A poll that began before this instance kept waits for longer than a leader
-        // may go without being confirmed.
+        // A poll that began before this instance led waits longer than a leader may go
+        // without confirmation.
         let became_leader = is_leader && !self.was_leader;
         self.was_leader = is_leader;
         if became_leader {
@@ -122,15 +125,16 @@
         }
     }
 
-    /// Whether a leader passes rows on, or the next one can be waited for.
+    /// Whether a leader relays rows, or is expected to be replaced by one that does soon.
     pub(super) fn can_rely_on_relays(&mut self, now: Mono) -> bool {
         if self.cluster.has_relaying_leader(now) {
             self.relays_heard_at = now;
             return true;
         }
         let watches = self.leadership.is_leader() || self.leadership.watches(now, &self.cluster);
-        // Load: the store is away for 8 s, and each of 295 instances tries three tables once a
-        // second. The leader and those that claim next try; they tell when it is back.
+        // Load: the store is away for 8 s, and each of 295 instances tries three tables
+        // once a second. So only the leader and the standbys try, and tell the others when
+        // it is back.
         if !watches && self.cluster.peers.is_large_fleet(now) && self.cluster.hears_leader(now) {
             self.relays_heard_at = now;
             return true;
--- a/crates/citronway/src/gateway/control/hearing.rs
+++ b/crates/citronway/src/gateway/control/hearing.rs
@@ -1,4 +1,4 @@
-//! What this instance hears from the others: reports, relayed rows, sums.
+//! Datagrams from other instances: reports, relayed rows, and totals of the leader.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -22,7 +22,7 @@
         }
         let newest = self.cluster.seen_versions().of(relay.table);
         if relay.after.0 > newest || !self.cluster.can_patch(relay) {
-            // Something in between was lost.
+            // A relay in between was lost.
             self.fetch_missed(now, relay.table, events);
             return;
         }
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes a datagram that came from an address.
+    /// Handles a datagram that came from an address.
     pub(super) fn on_datagram(
         &mut self,
         socket: &UdpSocket,
@@ -66,7 +66,7 @@
     fn on_totals(&mut self, socket: &UdpSocket, mut totals: Totals, from: SocketAddr) {
         let now = clock::mono();
         if totals.term < self.leadership.term() {
-            // A leader that was replaced and does not know it yet.
+            // The sender was replaced as the leader and does not know it yet.
             self.send_term(now, socket, from);
             return;
         }
--- a/crates/citronway/src/gateway/control/mod.rs
+++ b/crates/citronway/src/gateway/control/mod.rs
@@ -1,4 +1,5 @@
-//! Follows the store, tells the other instances what is in flight and keeps keys.
+//! The control task: polls the store, shares load and rows with the other instances, and as
+//! the leader grants keys to endpoints.
 
 mod cluster;
 mod cold;
@@ -57,56 +58,57 @@
 use crate::gateway::run;
 use crate::gateway::traffic::{ColdQuery, Stop, TrafficReport, TrialEvent};
 
-/// Longest time between two looks at what is due, of a leader and of all others.
+/// Longest time between two runs of [`Control::run_due`], on the leader and on all other
+/// instances.
 const LEADER_TICK: Duration = Duration::from_millis(25);
 const TICK: Duration = Duration::from_millis(100);
 
-/// Ranges of all services that make the shortest time between two looks a millisecond
-/// longer.
+/// Number of assigned ranges that adds a millisecond to the shortest time between two runs
+/// of [`Control::run_due`].
 ///
-/// Load: a leader of 720 endpoints hears 1,000 answers and reports a second. A look at all
-/// ranges after each of them took 0.1 of a core; at most 180 a second take 0.02.
+/// Load: a leader of 720 endpoints gets 1,000 answers and reports a second. Going through
+/// all ranges after each of them took 0.1 of a core; at most 180 times a second takes 0.02.
 const RANGES_PER_MS: usize = 150;
 
-/// Places in the ring of events of this thread's own tasks.
+/// Capacity of the channel of events from tasks on this thread.
 const EVENT_CAPACITY: usize = 1_024;
 
-/// Something that a task of this thread has to tell.
+/// A result that a task on this thread reports to the control loop.
 #[derive(Debug)]
 enum Event {
-    /// News of a table; the call was sent at `asked`.
+    /// The store answered a poll of a table, or failed to; the poll was sent at `sent_at`.
     Store {
         table: Table,
         update: TableUpdate,
         sent_at: Mono,
     },
-    /// An order was carried out or not.
+    /// An order was carried out, or failed.
     OrderDone { order: Order, result: OrderResult },
     /// A write of an assignment has ended.
     WriteDone {
         service: ServiceName,
         result: WriteResult,
     },
-    /// A claim has ended; the row that stands comes by the feed.
+    /// A claim has ended. The row that is stored comes by the next poll.
     ClaimDone,
     /// A write of the row about crashes has ended.
     CrashesWritten { done: bool },
-    /// The row of this instance stands.
+    /// The row of this instance is written.
     Registered,
-    /// Another instance asks for the rows of a table after a version.
+    /// Another instance requests the rows of a table that are newer than a version.
     CopyRequested {
         table: Table,
         after: Version,
         reply: oneshot::Sender<Vec<u8>>,
     },
-    /// An instance that was asked for a table has answered or not.
+    /// A request to another instance for a copy of a table has ended.
     CopyDone {
         table: Table,
         copy: Result<Relay, CopyError>,
     },
 }
 
-/// Signals that an instance listens for.
+/// Process signals that an instance handles.
 #[derive(Debug)]
 pub(super) struct Signals {
     terminate: Signal,
@@ -114,10 +116,11 @@
 }
 
 impl Signals {
-    /// Begins to listen, on the present runtime.
+    /// Registers the handlers; must be called within a Tokio runtime.
     ///
-    /// Failure guarded against: a signal comes when callers are taken already and ends the
-    /// process, and their connections with it. So this comes before the traffic starts.
+    /// Failure guarded against: a signal that comes after callers were accepted, but before
+    /// it is handled, ends the process and breaks their connections. So handlers are
+    /// registered before the traffic starts.
     pub(super) fn listen() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -126,24 +129,24 @@
     }
 }
 
-/// What joins the control duty to the traffic and to the process.
+/// Channels between the control task, the traffic thread and the process.
 #[derive(Debug)]
 pub(super) struct Channels {
-    /// What the traffic decides by.
+    /// The view by which the traffic thread decides.
     pub view: watch::Sender<View>,
-    /// What it saw.
-    pub seen: mpsc::Receiver<TrafficReport>,
-    /// What it asks about trials of work under suspicion.
+    /// Load that the traffic thread observed.
+    pub seen: mpsc::Receiver<Seen>,
+    /// Requests of the traffic thread about trials of suspect work.
     pub trials: mpsc::Receiver<TrialEvent>,
-    /// What it asks about cold endpoints.
-    pub cold: mpsc::Receiver<ColdQuery>,
-    /// Tells it to stop.
+    /// Requests of the traffic thread about cold endpoints.
+    pub cold: mpsc::Receiver<ColdAsk>,
+    /// Stops the traffic thread.
     pub stop: watch::Sender<Stop>,
     /// Signals to this process.
     pub signals: Signals,
 }
 
-/// The control duty of one instance.
+/// The control task of one instance.
 #[derive(Debug)]
 pub(super) struct Control {
     cfg: InstanceSettings,
@@ -163,25 +166,26 @@
     leadership: Leadership,
     orders: OrderClient,
     report_number: u64,
-    /// What was seen since the last report.
-    unreported: report::Observations,
-    /// What members reported since this delegate's last report.
-    gathered: GatheredReports,
-    place: TreePosition,
+    /// Load that was observed since the last report.
+    unreported: report::Seen,
+    /// Load that members reported since the last report of this delegate.
+    gathered: Gathered,
+    place: Place,
     tree: Tree,
-    /// To whom this leader told its sums last, and when.
+    /// The instances to which this leader last sent totals, and when.
     branches: Vec<Branch>,
     totals_sent_at: Mono,
-    /// Who claims first when this leader falls silent, and since when they are named.
+    /// The instances that claim first when this leader falls silent, and when they were
+    /// chosen.
     standbys: (Vec<InstanceName>, Mono),
     polls: [(Table, Arc<PollControl>); 3],
     started: Mono,
     stopping: bool,
-    /// It was the leader at the last look.
+    /// This instance was the leader at the last run of [`Control::update_polling`].
     was_leader: bool,
-    /// When a leader last passed rows on.
+    /// When a leader was last known to relay rows.
     relays_heard_at: Mono,
-    /// Tables that another instance was asked for.
+    /// Tables of which a copy was requested and has not come yet.
     pending_copies: Vec<Table>,
     /// Whether the store lists this instance.
     registration: Registration,
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Runs until the traffic has ended.
+    /// Runs until the traffic thread has ended.
     pub(super) async fn run(self) -> io::Result<()> {
         let local = tokio::task::LocalSet::new();
         Box::pin(local.run_until(self.run_local())).await
@@ -249,7 +253,7 @@
             Ok(listener) => {
                 tokio::spawn(ready::serve_metrics(listener, self.metrics.clone()));
             }
-            // Callers are served without anyone looking on.
+            // Callers are served also without metrics.
             Err(e) => log::error!(cause = e.to_string(); "metrics are not served"),
         }
         let socket = UdpSocket::bind(self.cfg.reports).await?;
@@ -258,7 +262,7 @@
         tokio::spawn(copies::serve(copies, events_tx.clone()));
         self.start_polling(&events_tx);
         if self.awaits_copies() {
-            // The store has no rows of the product yet.
+            // This is the first start: the store has no rows yet.
             self.register(&events_tx);
         }
         let mut buf = vec![0; datagram::MAX_DATAGRAM];
@@ -293,7 +297,7 @@
         }
     }
 
-    /// Time until the next look at what is due, unless something comes before.
+    /// Time until the next run of [`Control::run_due`], unless an event comes before.
     fn tick_period(&self) -> Duration {
         if self.trials.is_waiting() {
             return Duration::from_millis(trials::RESEND_MS);
@@ -348,7 +352,7 @@
             }
             Event::ClaimDone => {
                 self.leadership.on_claim_done();
-                // One that rests has nobody yet who would pass the row on.
+                // A passive instance has no leader yet that would relay the row to it.
                 self.poll_control(Table::Own).refresh.notify_one();
             }
             Event::CrashesWritten { done } => self.on_crashes_written(now, done),
@@ -365,7 +369,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Does what is due, publishes the view if it changed, and updates readiness.
     fn run_due(&mut self, events: &mpsc::Sender<Event>) {
         let now = clock::mono();
         self.cluster.expire(now);
@@ -385,7 +389,7 @@
             tokio::spawn(async move {
                 let result = write_row(address, &write).await;
                 let service = write.service;
-                // Nobody is left to be told when the process channels.
+                // The receiver is gone when the process ends.
                 let _ = events.send(Event::WriteDone { service, result }).await;
             });
         }
@@ -411,8 +415,9 @@
             self.publish(now);
         }
         self.refresh_stale_tables(now, events);
-        // Failure: it takes callers, is killed before it is listed, starts again while the
-        // store is silent, and nobody knows that there is one to be told of the rows.
+        // Failure: this instance takes callers and is killed before the store lists it. It
+        // starts again while the store is silent, and no other instance knows that it needs
+        // rows.
         let known = self.registration == Registration::Done || self.cluster.store_lost();
         let ready = !self.stopping && known && self.cluster.is_ready(now);
         if self.ready.set(ready) {
@@ -429,7 +434,8 @@
         if self.stopping {
             return;
         }
-        // Settings may change without a signal, and the process ends by their grace.
+        // Settings may have changed without a signal, and the grace of the stop comes from
+        // them.
         self.reload();
         let grace_ms = self.cfg.grace_ms;
         log::info!(grace_ms; "asked to stop");
@@ -441,7 +447,7 @@
         match run::load(&self.settings) {
             Ok(cfg) if cfg == self.cfg => log::info!("settings read again, unchanged"),
             Ok(cfg) => {
-                // Addresses are those of the listening sockets and stay.
+                // Listening sockets are already bound, so changed addresses have no effect.
                 log::info!("settings read again, changed; addresses stay until a restart");
                 self.cfg.retries = cfg.retries;
                 self.cfg.grace_ms = cfg.grace_ms;
--- a/crates/citronway/src/gateway/control/own_rows.rs
+++ b/crates/citronway/src/gateway/control/own_rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the product's own table: their keys, stored forms, and what they change.
+//! Rows of the product's own table: their keys, their stored forms, and their effects.
 
 use citronway_core::gateway::admission::Owners;
 use citronway_core::gateway::assignment::{Assignment, RowError};
@@ -15,17 +15,17 @@
 
 /// Key of the row that names the leader.
 ///
-/// It is as in the version before: while all instances are restarted in turn, both versions
-/// have to see one leader.
+/// The previous version uses the same key: during a rolling restart, both versions have to
+/// see one leader.
 pub(super) const LEADER_KEY: &str = "keeper";
 
 /// Key of the row about requests that crash endpoints.
 pub(super) const CRASHES_KEY: &str = "crashes";
 
-/// Keys of assignments begin so; the service follows.
+/// Prefix of the keys of assignments, followed by the service.
 const KEYS_PREFIX: &str = "keys/";
 
-/// Keys of the instances' rows begin so; the name follows.
+/// Prefix of the keys of instances' rows, followed by the name.
 const INSTANCE_PREFIX: &str = "instance/";
 
 /// Stored form of the leader's row.
@@ -139,7 +139,8 @@
         self.owners.insert(service.clone(), owners);
     }
 
-    /// A relay in which changes stand for large rows of which most stays as it was.
+    /// Copy of a relay in which large rows are replaced by patches against the known row,
+    /// where most of the row is unchanged. Rows that were relayed before are left out.
     pub(super) fn with_patches(&self, relay: &Relay) -> Relay {
         let mut slim = Relay {
             rows: Vec::new(),
@@ -157,7 +158,7 @@
         slim
     }
 
-    /// Whether a row is an assignment that is known already, and was passed on when it was
+    /// Whether a row is an assignment that is already known. It was relayed when it was
     /// written.
     fn is_known_assignment(&self, row: &Row) -> bool {
         let service = row.key.strip_prefix(KEYS_PREFIX).map(ServiceName::new);
@@ -165,7 +166,8 @@
         known.is_some_and(|known| known.version >= row.version)
     }
 
-    /// An assignment that was just written, as a relay; none if it cannot be written down.
+    /// A relay of an assignment that was just written; `None` if a newer one is known or it
+    /// can't be encoded.
     pub(super) fn relay_of_write(
         &self,
         service: &ServiceName,
@@ -197,7 +199,7 @@
         if known.version >= row.version {
             return None;
         }
-        // A row that cannot be read is passed on as it is, and each receiver says so.
+        // A malformed row is relayed as it is, and each receiver logs it.
         let newer = Assignment::from_bytes(value).ok()?;
         let change = newer.changes_since(&known.assignment).ok()?;
         Some(Patch {
@@ -208,7 +210,8 @@
         })
     }
 
-    /// Whether the rows that a relay changes are known as they were before.
+    /// Whether each row that a relay patches is known in the version that the patch starts
+    /// from, or a newer one than it leads to.
     pub(super) fn can_patch(&self, relay: &Relay) -> bool {
         relay.patches.iter().all(|patch| {
             let known = self.row_to_patch(patch).map(|known| known.version);
@@ -242,7 +245,7 @@
     }
 }
 
-/// Whether a key of any table is that of an assignment.
+/// Whether a key is that of an assignment.
 pub(super) fn is_assignment(key: &str) -> bool {
     key.starts_with(KEYS_PREFIX)
 }
@@ -252,12 +255,14 @@
     key.starts_with(INSTANCE_PREFIX)
 }
 
-/// Whether the version of a row of the own table tells that rows before it were missed.
+/// Whether a gap in the versions of this row of the own table shows that earlier rows were
+/// missed.
 pub(super) fn is_sequenced(key: &str) -> bool {
     !is_instance(key) && key != LEADER_KEY
 }
 
-/// An assignment as its row, with the changes that came since the row was read.
+/// The row of an assignment, with all patches since the row was read; `None` if it can't be
+/// encoded.
 pub(super) fn assignment_as_row((service, owners): (&ServiceName, &Owners)) -> Option<Row> {
     let value = match owners.assignment.to_bytes() {
         Ok(value) => value,
@@ -284,7 +289,7 @@
     format!("{KEYS_PREFIX}{service}")
 }
 
-/// Stored form of a leader's row.
+/// Stored form of the leader's row.
 pub(super) fn leader_value(
     me: &Session,
     term: u64,
--- a/crates/citronway/src/gateway/control/peers.rs
+++ b/crates/citronway/src/gateway/control/peers.rs
@@ -1,4 +1,4 @@
-//! What the other instances report.
+//! The other instances, by their rows and reports and by the leader's totals.
 
 use std::net::SocketAddr;
 
@@ -16,17 +16,18 @@
 use citronway_core::time::Mono;
 use indexmap::IndexMap;
 
-/// Silence after which a report no longer counts, in milliseconds: ten reports where all
-/// tell all; through a delegate, long enough that it survives a change of the delegate.
+/// Silence after which a report is stale, in milliseconds. Where all report to all, this is
+/// ten reports; through a delegate, it is long enough to last through a change of the
+/// delegate.
 const STALE_MS: u64 = 1_000;
 const STALE_THROUGH_DELEGATE_MS: u64 = 1_500;
 
-/// Silence after which what an instance has in flight no longer counts where delegates sum
-/// it up, in milliseconds: three reports of a member. Its next delegate counts it too.
+/// Silence after which the load of an instance is no longer counted where delegates sum it
+/// up, in milliseconds: three reports of a member. Its next delegate counts it too.
 const LOAD_STALE_MS: u64 = 600;
 
-/// Silence of the leader after which its rows are no longer waited for, in
-/// milliseconds: six reports.
+/// Silence of the leader after which its relays are no longer waited for, in milliseconds:
+/// six reports.
 const LEADER_SILENT_MS: u64 = 600;
 
 /// An instance of which a row or a report was seen.
@@ -34,8 +35,8 @@
 struct Peer {
     address: Option<SocketAddr>,
     zone: Option<ZoneName>,
-    sight: Option<PeerState>,
-    /// When a report of its own came.
+    sight: Option<PeerSight>,
+    /// When its own last report came, as opposed to news through a delegate.
     direct_at: Option<Mono>,
     report_number: u64,
     seen: Versions,
@@ -46,31 +47,32 @@
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     all: IndexMap<InstanceName, Peer>,
-    /// Sums that the leader told last, and when.
+    /// The last totals of a leader, and when they came.
     totals: Option<(Totals, Mono)>,
-    /// Instances by the sums of leaders.
+    /// Number of instances, by the totals of leaders.
     fleet: FleetSize,
 }
 
 impl Peers {
-    /// Takes the row of an instance.
+    /// Records the row of an instance.
     pub(super) fn set_row(&mut self, instance: &InstanceName, row: InstanceRow) {
         let peer = self.entry(instance);
         peer.address = Some(row.address);
         peer.zone = Some(row.zone);
     }
 
-    /// Whether this start of an instance was heard of.
+    /// Whether this session of an instance has been heard of.
     pub(super) fn knows_session(&self, instance: &InstanceName, session: SessionId) -> bool {
         let sight = self.all.get(instance).and_then(|peer| peer.sight.as_ref());
         sight.is_some_and(|sight| sight.session == session)
     }
 
-    /// Takes a report that came from an address; false if a newer one was taken before.
+    /// Records a report that came from an address; returns false if a newer one was
+    /// recorded before.
     pub(super) fn record_report(&mut self, now: Mono, report: &Report, from: SocketAddr) -> bool {
         let peer = self.entry(&report.instance);
-        // Instances send from the address at which they listen. Whoever starts while the
-        // store is silent has read no rows and knows the others by this alone.
+        // Instances send from the address at which they listen. An instance that starts
+        // while the store is silent has read no rows, and knows the others only by this.
         peer.address.get_or_insert(from);
         let same = peer
             .sight
@@ -99,12 +101,12 @@
         true
     }
 
-    /// Takes what a delegate says of one of its members.
+    /// Records the state of a member that its delegate reports.
     fn record_member(&mut self, now: Mono, member: &MemberState) {
         let heard = now.minus(u64::from(member.heard_ago_ms));
         let peer = self.entry(&member.instance);
         if peer.direct_at.is_none_or(|at| at < heard) {
-            // Its delegate counts what it has in flight.
+            // Its delegate now counts its requests in flight.
             peer.endpoints.clear();
         }
         if peer
@@ -126,7 +128,7 @@
         });
     }
 
-    /// Takes what the leader's sums say of the leader itself.
+    /// Records the state of the leader itself from its totals.
     pub(super) fn record_leader(&mut self, now: Mono, totals: &Totals) {
         let peer = self.entry(&totals.leader.instance);
         peer.seen = totals.seen;
@@ -154,7 +156,7 @@
         })
     }
 
-    /// Takes the sums of a leader; older ones are ignored.
+    /// Records the totals of a leader, unless newer ones were recorded before.
     pub(super) fn set_totals(&mut self, now: Mono, totals: Totals) {
         let newest = self.totals.as_ref().map(|(t, _)| (t.term, t.number));
         if newest.is_none_or(|newest| newest < (totals.term, totals.number)) {
@@ -163,13 +165,13 @@
         }
     }
 
-    /// The sums that a leader told a moment ago.
+    /// The last totals, unless they are stale.
     pub(super) fn fresh_totals(&self, now: Mono) -> Option<&Totals> {
         let (totals, at) = self.totals.as_ref()?;
         (now.since(*at) < STALE_MS).then_some(totals)
     }
 
-    /// Requests in flight and waiting of all other instances, by endpoint.
+    /// Requests of all other instances in flight and waiting, by endpoint.
     pub(super) fn sums(&self, now: Mono) -> IndexMap<EndpointTag, EndpointTotal> {
         let mut sums = IndexMap::<_, EndpointTotal>::new();
         for used in self
@@ -184,27 +186,28 @@
         sums
     }
 
-    /// Where to send reports where all tell all.
+    /// Addresses to which to send reports where all report to all.
     pub(super) fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.all.values().filter_map(|peer| peer.address)
     }
 
-    /// Order of each other instance among all.
+    /// Ranks of all other instances, by which instances are ordered.
     pub(super) fn ranks(&self) -> impl Iterator<Item = u64> {
         self.all.keys().map(rank_of)
     }
 
-    /// Instances that are listed, this one included.
+    /// Number of listed instances, including this one.
     pub(super) fn listed_count(&self) -> usize {
         self.all.len() + 1
     }
 
-    /// Whether there are too many instances for all to tell all, as far as is known here.
+    /// Whether there are too many instances for all to report to all, as far as is known
+    /// here.
     pub(super) fn is_large_fleet(&self, now: Mono) -> bool {
         self.listed_count() > MOST_LISTED_TELL_ALL || self.fresh_totals(now).is_some()
     }
 
-    /// All instances that can be told of the sums.
+    /// All instances to which totals can be sent.
     pub(super) fn candidates(&self) -> Vec<Candidate<'_>> {
         let all = self.all.iter().filter_map(|(instance, peer)| {
             let sight = peer.sight.as_ref();
@@ -221,7 +224,7 @@
         all.collect()
     }
 
-    /// Members of this delegate, as the leader wants to know them.
+    /// States of this delegate's members, for its report to the leader.
     pub(super) fn members(&self, now: Mono) -> Vec<MemberState> {
         let members = self
             .direct_reporters(now)
@@ -238,13 +241,14 @@
         members.map(state).collect()
     }
 
-    /// What the members of this delegate have at endpoints or want to send there.
+    /// Endpoint, requests in flight, and requests waiting, for each use that a member of
+    /// this delegate reported.
     pub(super) fn members_use(&self, now: Mono) -> impl Iterator<Item = (EndpointTag, u32, u32)> {
         let uses = self.direct_reporters(now).flat_map(|peer| &peer.endpoints);
         uses.map(|used| (used.tag, used.in_flight, used.waiting))
     }
 
-    /// Instances that report to this one.
+    /// Instances that report directly to this one.
     fn direct_reporters(&self, now: Mono) -> impl Iterator<Item = &Peer> {
         let all = self.all.values();
         all.filter(move |peer| {
@@ -253,28 +257,29 @@
         })
     }
 
-    /// Where an instance takes reports.
+    /// Address to which an instance's reports go; `None` if it is not known.
     pub(super) fn address(&self, instance: &InstanceName) -> Option<SocketAddr> {
         self.all.get(instance)?.address
     }
 
-    /// What is known of each for an election.
-    pub(super) fn sights(&self) -> Vec<PeerState> {
+    /// State of each other instance that is known, for an election.
+    pub(super) fn sights(&self) -> Vec<PeerSight> {
         self.all
             .values()
             .filter_map(|peer| peer.sight.clone())
             .collect()
     }
 
-    /// Other instances that are heard.
+    /// Number of other instances that are heard.
     pub(super) fn heard_count(&self, now: Mono) -> usize {
         self.fresh(now).count()
     }
 
-    /// Instances that share the load, this one included, as far as is known.
+    /// Number of instances that share the load, including this one, as far as is known.
     ///
-    /// Failure: the leader is lost, and each of hundreds takes itself for one of few and
-    /// uses up second sends that all share. So the last number that was told holds on.
+    /// Failure: the leader is lost, and each of hundreds of instances takes itself for one
+    /// of few and uses up second sends that all of them share. So the last number from
+    /// totals stays in force.
     pub(super) fn instance_count(&self, now: Mono) -> usize {
         let heard = self.heard_count(now) + 1;
         let reported = self.fleet.count() as usize;
@@ -287,19 +292,19 @@
         heard
     }
 
-    /// Whether a leader ever told sums.
+    /// Whether any leader has ever sent totals.
     pub(super) const fn has_totals(&self) -> bool {
         self.totals.is_some()
     }
 
-    /// Who claims first when the leader falls silent.
+    /// Instances that claim first when the leader falls silent.
     pub(super) fn standbys(&self) -> &[InstanceName] {
         self.totals
             .as_ref()
             .map_or(&[], |(totals, _)| &totals.standbys)
     }
 
-    /// The newest versions that any instance has seen.
+    /// The newest versions that any other instance has seen.
     pub(super) fn newest(&self, now: Mono) -> Versions {
         let from_totals = self.fresh_totals(now).map(|totals| totals.seen);
         let reported = self.fresh(now).map(|(_, peer)| peer.seen);
@@ -308,7 +313,8 @@
             .fold(Versions::default(), Versions::newer)
     }
 
-    /// Where an instance listens that has the newest rows of a table; those of `zone` first.
+    /// Address of an instance with the newest rows of a table, preferably in `zone`; `None`
+    /// if no heard instance has rows.
     pub(super) fn with_newest(
         &self,
         now: Mono,
@@ -323,13 +329,14 @@
         best.address
     }
 
-    /// Whether the leader that the row names is heard and reaches the store.
+    /// Whether the leader that the row names is heard, fit and not stopping, so that it
+    /// relays rows.
     pub(super) fn leader_relays_rows(&self, now: Mono, leader: &LeaderRow) -> bool {
         let sight = self.leader_sight(now, leader);
         sight.is_some_and(|sight| !sight.unfit && !sight.stopping && sight.term <= leader.term)
     }
 
-    /// Whether the leader that the row names is heard, fit or not.
+    /// Whether the leader that the row names is heard, also if it is unfit.
     pub(super) fn hears(&self, now: Mono, leader: &LeaderRow) -> bool {
         self.leader_sight(now, leader).is_some()
     }
@@ -341,7 +348,7 @@
         (heard && sight.session == leader.session).then_some(sight)
     }
 
-    /// Requests of others that wait for each endpoint.
+    /// Waiting requests of the other instances, by endpoint.
     pub(super) fn waiting(&self, now: Mono) -> IndexMap<EndpointTag, u32> {
         let mut waiting = IndexMap::new();
         for used in self
@@ -353,8 +360,8 @@
         waiting
     }
 
-    /// Load of each endpoint by what is in flight elsewhere; `own` is what this instance
-    /// itself reported.
+    /// Load of each endpoint by requests of the other instances; `own` is what this
+    /// instance itself reported.
     pub(super) fn standings(
         &self,
         now: Mono,
@@ -378,7 +385,7 @@
         for total in self.fresh_totals(now).iter().flat_map(|t| &t.endpoints) {
             let own = own.get(&total.tag).copied().unwrap_or_default();
             let standing = all.entry(total.tag).or_default();
-            // The nearer reports are newer.
+            // Direct reports are newer than totals.
             let in_flight = total.in_flight.saturating_sub(own.in_flight);
             let waiting = total.waiting.saturating_sub(own.waiting);
             standing.in_flight = standing.in_flight.max(in_flight);
@@ -405,7 +412,7 @@
         })
     }
 
-    /// Instances whose reports count for the load of endpoints.
+    /// Instances whose reports count towards the load of endpoints.
     fn load_reporters(&self, now: Mono) -> impl Iterator<Item = (&InstanceName, &Peer)> {
         let stale_ms = if self.is_large_fleet(now) {
             LOAD_STALE_MS
@@ -419,7 +426,8 @@
 }
 
 impl Peer {
-    /// Takes what is newer than what was known; keeps since when it has been so.
+    /// Replaces the state of the instance; keeps the time since which it has been
+    /// unchanged.
     fn update_sight(&mut self, newer: PeerSight) {
         let unchanged = |sight: &&PeerSight| {
             sight.session == newer.session
--- a/crates/citronway/src/gateway/control/reporting.rs
+++ b/crates/citronway/src/gateway/control/reporting.rs
@@ -1,4 +1,4 @@
-//! What this instance tells the others: its reports, and sums and rows as their leader.
+//! Messages to other instances: reports, and as the leader totals and relayed rows.
 
 use std::net::SocketAddr;
 
@@ -17,22 +17,22 @@
 use crate::clock;
 use crate::gateway::traffic::TrafficReport;
 
-/// Of how many looks at the traffic one is reported: by a delegate, by a member, and by one
-/// to whom nobody passes sums on. Hot ranges are cut up by what the leader hears, and their
-/// callers queue meanwhile.
+/// One observation of the traffic in this many is reported: by a delegate, by a member, and
+/// by an instance without a delegate. The leader splits hot ranges by these reports, and
+/// callers of those ranges queue until then.
 const DELEGATE_REPORT_EVERY: u64 = 1;
 const MEMBER_REPORT_EVERY: u64 = 2;
 const ALONE_REPORT_EVERY: u64 = 6;
 
-/// Turns in which the estimates of all endpoints are told: each is told every second.
+/// Rounds over which the estimates of all endpoints are sent: each endpoint's every second.
 const PACE_ROUNDS: u64 = 5;
 
-/// How long the names of those that claim first stand while the store does not answer the
-/// leader, in milliseconds.
+/// Time for which the standbys stay the same while the store does not answer the leader, in
+/// milliseconds.
 const STANDBYS_KEPT_MS: u64 = 2_000;
 
 impl Control {
-    /// Takes an account of the traffic and reports it to the others.
+    /// Records an observation of the traffic and reports it to the other instances.
     pub(super) fn report_traffic(&mut self, socket: &UdpSocket, seen: &Seen) {
         let now = clock::mono();
         self.report_number += 1;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether this instance leads a fleet in which not all tell all.
+    /// Whether this instance leads a fleet that is too large for all to report to all.
     pub(super) fn leads_large_fleet(&self, now: Mono) -> bool {
         let peers = &self.cluster.peers;
         self.leadership.is_leader()
@@ -73,7 +73,7 @@
             let bytes = datagram::encode(&Datagram::Report(report.clone()));
             self.send(socket, &bytes, address);
         }
-        // Only the leader places keys.
+        // Only the leader assigns keys.
         report.keys.clear();
         let bytes = datagram::encode(&Datagram::Report(report));
         for address in self.cluster.peers.addresses() {
@@ -84,8 +84,8 @@
         self.publish(now);
     }
 
-    /// Reports to whoever sums up for this instance, once in so many looks; to the leader
-    /// that the store names where nobody does.
+    /// Reports to `to`, the delegate or leader that sums up for this instance, once every
+    /// `every` observations; without one, to the leader that the store names.
     fn report_to_parent(
         &mut self,
         now: Mono,
@@ -114,12 +114,13 @@
         let bytes = datagram::encode(&Datagram::Report(report));
         self.send(socket, &bytes, to);
         if self.place.role(now) == Role::Alone {
-            // Sums bring all others their new view.
+            // In other roles the view is published when totals come.
             self.publish(now);
         }
     }
 
-    /// Takes what this instance itself has seen since it did so last.
+    /// Records what this instance itself has observed since the last call, and returns it
+    /// as a report.
     fn record_own_report(&mut self, now: Mono) -> Report {
         let own = std::mem::take(&mut self.unreported);
         let report = self.build_report(now, own);
@@ -129,13 +130,13 @@
         report
     }
 
-    /// As the leader, tells all instances what they have at contended endpoints together.
+    /// As the leader, sends the totals of contended endpoints to all instances.
     fn send_totals(&mut self, now: Mono, socket: &UdpSocket) {
         if now.since(self.totals_sent_at) < TELL_MS {
             return;
         }
         self.totals_sent_at = now;
-        // What it saw itself, it has counted; all others hear of it by the sums.
+        // The leader has counted its own signs; all others learn of them by the totals.
         self.cluster.crashes.take_signs();
         let candidates = self.cluster.peers.candidates();
         let branches = self.tree.plan(now, &candidates);
@@ -169,11 +170,11 @@
         }
     }
 
-    /// Names who claims first when this leader falls silent.
+    /// Chooses the standbys, which claim first when this leader falls silent.
     ///
-    /// Failure: the store is away for all. Those that are to watch it say that they are not
-    /// fit, the next ones watch, and soon all instances ask it. So the names stand for a
-    /// while then.
+    /// Failure: the store is away for all. The standbys that watch it report that they are
+    /// unfit, the next ones watch it, and soon all instances ask it. So the standbys stay
+    /// the same for a while then.
     fn update_standbys(&mut self, now: Mono, store_lost: bool) {
         let kept_ms = if store_lost { STANDBYS_KEPT_MS } else { 0 };
         if now.since(self.standbys.1) < kept_ms {
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Lets an instance know the newest term.
+    /// Sends the newest known term to an instance.
     pub(super) fn send_term(&self, now: Mono, socket: &UdpSocket, to: SocketAddr) {
         let report = self.build_report(now, report::Seen::default());
         self.send(socket, &datagram::encode(&Datagram::Report(report)), to);
@@ -243,13 +244,13 @@
         if to == self.cfg.reports || bytes.len() > datagram::MAX_DATAGRAM {
             return;
         }
-        // What is lost shows by newer numbers and positions in later reports.
+        // The receiver notices a loss by newer numbers and positions in later messages.
         if let Err(e) = socket.try_send_to(bytes, to) {
             log::debug!(cause = e.to_string(), to = to.to_string(); "datagram not sent");
         }
     }
 
-    /// Passes an assignment on that this leader has just written, and believes it.
+    /// Relays an assignment that this leader has just written, and applies it.
     pub(super) fn relay_write(
         &mut self,
         now: Mono,
@@ -265,13 +266,13 @@
         self.cluster.apply_relay(now, &relay);
     }
 
-    /// Passes rows on to those that rest.
+    /// As the leader, relays rows to the passive instances.
     pub(super) fn relay_rows(&self, now: Mono, socket: &UdpSocket, relay: &Relay) {
         if !self.leadership.is_leader() {
             return;
         }
         let mut relay = self.cluster.with_patches(relay);
-        // What receivers must have seen before is the newest row, not the store's position,
+        // Receivers must have seen the newest row before, rather than the store's position,
         // which moves with rows of all tables.
         relay.after = Version(self.cluster.seen_versions().of(relay.table));
         if !self.leads_large_fleet(now) {
@@ -282,8 +283,8 @@
             }
             return;
         }
-        // Load: 295 instances list themselves within 2 s, and each row would go to all. Only
-        // a leader needs them, and reads them when it takes office.
+        // Load: 295 instances list themselves within 2 s, and each row would go to all.
+        // Only a leader needs them, and reads them when it becomes leader.
         relay.rows.retain(|row| !own_rows::is_instance(&row.key));
         if relay.rows.is_empty() && relay.patches.is_empty() {
             return;
--- a/crates/citronway/src/gateway/control/store.rs
+++ b/crates/citronway/src/gateway/control/store.rs
@@ -1,4 +1,4 @@
-//! Calls of the store: one long poll for each table, and changes of own rows.
+//! Client of the store: a long poll for each table, and conditional writes of own rows.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,45 +17,46 @@
 use crate::clock;
 use crate::gateway::http_link::{Answer, CallError, ConnectMode, Link};
 
-/// How long a call waits beyond what it asked the store to wait.
+/// Timeout of a call, in addition to the time that the store is asked to wait.
 ///
 /// The store answers within 5 ms; slowed sixtyfold it still answers in time.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Long polls of an instance that keeps nothing, in milliseconds.
+/// Wait of a long poll of an instance that does not lead, in milliseconds.
 ///
-/// An outage may leave a poll hanging; this and the limit of a call bound how long
-/// the instance then goes without news after the store is back.
+/// An outage may leave a poll hanging. This wait and the timeout of a call limit how long
+/// the instance then misses changes after the store is back.
 pub(super) const IDLE_WAIT_MS: u64 = 5_000;
 
-/// Long polls of the leader, in milliseconds.
+/// Wait of a long poll of the leader, in milliseconds.
 ///
-/// Each answer confirms it. The others learn of changes from the leader and have two
-/// seconds for it; when the store falls silent for the leader alone, this and
-/// [`CALL_LIMIT`] pass before they ask for themselves.
+/// Each answer confirms the leader. The others learn of changes from the leader, and
+/// changes must reach them within two seconds. When the store falls silent for the leader
+/// alone, this wait and [`CALL_TIMEOUT`] pass before they poll the store themselves.
 pub(super) const LEADER_WAIT_MS: u64 = 1_000;
 
 /// First and longest pause after a call that failed, in milliseconds.
 const RETRY_PAUSE_MS: (u64, u64) = (100, 1_000);
 
-/// Pause after a call that failed where another instance tells when the store is back, in
-/// milliseconds.
+/// Pause after a call that failed on an instance that another one tells when the store is
+/// back, in milliseconds.
 const PASSIVE_PAUSE_MS: u64 = 5_000;
 
-/// Time between two polls of the endpoints' entries, in milliseconds. Endpoints that leave
-/// are left alone in time if it is known within 1.5 s.
+/// Pause from an answer to the next poll of the endpoints' entries, in milliseconds.
+/// Draining endpoints get no new work in time if the drain is known within 1.5 s.
 ///
-/// Load: 395 endpoints list themselves or leave within a few seconds, and each change was
-/// answered by itself: 250 calls before the first request.
+/// Load: 395 endpoints list themselves or leave within a few seconds. Each change was
+/// answered separately, which made 250 calls before the first request.
 pub(super) const ENTRIES_BATCH_MS: u64 = 150;
 
-/// The same of a leader's own table, in milliseconds.
+/// Pause from an answer to the next poll of the leader's own table, in milliseconds.
 ///
-/// Load: each write of an assignment was answered to the leader's own poll too, a quarter of
-/// all calls while ranges move. What it writes it knows by the answer to the write.
+/// Load: each write of an assignment was also returned by the leader's own poll, which made
+/// a quarter of all calls while ranges moved. The leader knows what it wrote by the answer
+/// to the write.
 pub(super) const OWN_BATCH_MS: u64 = 250;
 
-/// Why a call of the store brought nothing.
+/// Why a call of the store failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StoreError {
     #[error(transparent)]
@@ -64,7 +65,7 @@
     Refused(#[from] StoreRefusal),
 }
 
-/// A connection to the store that is opened when it is needed.
+/// A connection to the store, opened when it is needed.
 #[derive(Debug)]
 pub(super) struct Store {
     address: SocketAddr,
@@ -95,7 +96,7 @@
         Ok(store::read_rows(answer.status, &answer.body)?)
     }
 
-    /// All rows of a table, and the version to follow it from.
+    /// Reads all rows of a table, and the version from which to poll it.
     async fn load(&mut self, table: Table) -> Result<Loaded, StoreError> {
         let mut page = self.page(table, None).await?;
         let (version, now_ms) = (page.version, page.now_ms);
@@ -126,11 +127,8 @@
         Ok(store::read_rows(answer.status, &answer.body)?)
     }
 
-    /// Makes a change.
-    pub(super) async fn change(
-        &mut self,
-        change: &ConditionalWrite,
-    ) -> Result<Version, StoreError> {
+    /// Makes a conditional change; returns the version of the store after it.
+    pub(super) async fn change(&mut self, change: &Change) -> Result<Version, StoreError> {
         let req = store::change(&self.address.to_string(), change)
             .map_err(|e| StoreError::Refused(Refused::Malformed(e)))?;
         let answer = self.call(req, CALL_TIMEOUT).await?;
@@ -138,7 +136,7 @@
     }
 }
 
-/// All rows of a table as they stood when the first of them was read.
+/// All rows of a table at the version at which the first of them was read.
 #[derive(Debug)]
 struct Loaded {
     rows: Vec<Row>,
@@ -146,40 +144,40 @@
     now_ms: u64,
 }
 
-/// News of a table.
+/// Result of a poll of a table.
 #[derive(Debug)]
 pub(super) enum TableUpdate {
-    /// All rows.
+    /// All rows of the table.
     Loaded {
         rows: Vec<Row>,
-        /// Version of the store when they were read.
+        /// Version of the store when the rows were read.
         version: Version,
         now_ms: u64,
     },
-    /// Rows that changed, and the positions between which they did.
+    /// Rows that changed, and the positions in the history between which they did.
     Changed { relay: Relay, now_ms: u64 },
-    /// The store does not answer, or refuses this instance.
+    /// The store does not answer, or refuses this instance; with the cause.
     Lost(String),
 }
 
-/// What a follower and its owner share.
+/// State that a poller shares with the control task.
 #[derive(Debug)]
 pub(super) struct PollControl {
-    /// Position in the table's history; relayed rows move it too.
+    /// Position in the table's history; relayed rows advance it too.
     pub position: AtomicU64,
-    /// Another instance passes the rows on; this one asks only when told to.
+    /// Another instance relays rows; this one polls only when `refresh` is notified.
     pub passive: AtomicBool,
-    /// How long to wait at the store, in milliseconds.
+    /// Time that the store is asked to wait for changes, in milliseconds.
     pub wait_ms: AtomicU64,
-    /// Time from an answer to the next call, in milliseconds.
+    /// Pause from an answer to the next call, in milliseconds, in which changes gather.
     pub batch_ms: AtomicU64,
-    /// Times the usual pause between calls while the store does not answer.
+    /// Factor on the longest pause between calls while the store does not answer.
     pub pause_factor: AtomicU64,
-    /// Nothing is asked yet: another instance is to give a copy.
+    /// The store is not read yet: another instance is to send a copy first.
     pub awaits_copy: AtomicBool,
-    /// Has the whole table read anew.
+    /// Makes the poller read the whole table again.
     pub reload: AtomicBool,
-    /// Has the store asked now, on a new connection.
+    /// Makes the poller ask the store at once, on a new connection.
     pub refresh: Notify,
 }
 
@@ -197,16 +195,16 @@
         })
     }
 
-    /// Drops a wish to ask now that an answer has just met.
+    /// Clears a refresh that was requested before the answer that just came.
     ///
-    /// What the answer lacks shows by the next relayed row or by the versions that
+    /// Rows that the answer lacks show by the next relayed row, or by the versions that
     /// others report.
     fn clear_refresh(&self) {
         let _ = self.refresh.notified().now_or_never();
     }
 }
 
-/// Follows one table for as long as the process runs.
+/// Polls one table for as long as the process runs.
 #[derive(Debug)]
 pub(super) struct TablePoller {
     pub table: Table,
@@ -222,7 +220,7 @@
         while self.control.awaits_copy.load(Ordering::Relaxed) {
             self.control.refresh.notified().await;
         }
-        // What another instance gave as a copy needs not be read again.
+        // A table that another instance copied to this one need not be read again.
         let mut loaded = self.control.position.load(Ordering::Relaxed) > 0;
         let mut skip_wait = false;
         loop {
@@ -249,9 +247,9 @@
             };
             let lost = matches!(update, TableUpdate::Lost(_));
             loaded |= !lost;
-            // Failure: a poll sent while the store is silent hangs beyond its return,
-            // and an old configuration stays in force meanwhile. Until the store has
-            // answered again, calls do not wait.
+            // Failure: a poll that was sent while the store is silent hangs on after the
+            // store is back, and meanwhile an old configuration stays in force. Until the
+            // store has answered again, calls do not wait.
             skip_wait = lost;
             let event = Event::Store {
                 table: self.table,
@@ -262,7 +260,8 @@
                 return;
             }
             if lost {
-                // Another table that is answered again ends the pause.
+                // A poller of another table that gets an answer ends this pause by a
+                // refresh.
                 let is_passive = loaded && self.control.passive.load(Ordering::Relaxed);
                 let pause_ms = if is_passive { PASSIVE_PAUSE_MS } else { pause };
                 let pause_over = tokio::time::sleep(Duration::from_millis(pause_ms));
@@ -295,7 +294,7 @@
         }
     }
 
-    /// Waits until several rows have changed that change at about the same time.
+    /// Waits so that several changes at about the same time come with one answer.
     async fn wait_for_batch(&self) {
         let batch_ms = self.control.batch_ms.load(Ordering::Relaxed);
         if batch_ms > 0 {
@@ -303,7 +302,8 @@
         }
     }
 
-    /// One table is asked for often while the store is lost, the others when it is back.
+    /// While the store is lost, the endpoints' entries are polled more often; an answer
+    /// makes the pollers of the other tables ask at once.
     const fn longest_pause_ms(&self) -> u64 {
         match self.table {
             Table::Endpoints => RETRY_PAUSE_MS.1 / 2,
@@ -315,17 +315,18 @@
         let after = Version(self.control.position.load(Ordering::Relaxed));
         let wait_ms = self.control.wait_ms.load(Ordering::Relaxed);
         let polled = if skip_wait {
-            // Failure: rows change faster than a poll takes, each one that was missed
-            // asks for a poll, and polls that give way to the next one never end.
+            // Failure: rows change faster than a poll takes, and each row that was missed
+            // requests a refresh. If a refresh cancelled this poll too, no poll would ever
+            // end.
             let polled = store.feed(self.table, after, 0).await;
             self.control.clear_refresh();
             polled
         } else {
             tokio::select! {
                 polled = store.feed(self.table, after, wait_ms) => polled,
-                // Failure: an open connection falls silent for good and the table seems
-                // not to change. Others that see newer versions show it; a new
-                // connection works.
+                // Failure: an open connection falls silent for good, and the table seems
+                // not to change. Versions that others report show it, and a new connection
+                // works.
                 () = self.control.refresh.notified() => {
                     store.link = None;
                     return Polled::Refresh;
@@ -356,11 +357,11 @@
     }
 }
 
-/// Result of one poll.
+/// Outcome of one poll.
 #[derive(Debug)]
 enum Polled {
     Update(TableUpdate),
-    /// Told to ask now.
+    /// A refresh was requested.
     Refresh,
     HistoryGone,
 }
