--- a/crates/citronway/src/gateway/control/cluster/evacuations.rs
+++ b/crates/citronway/src/gateway/control/cluster/evacuations.rs
@@ -103,7 +103,9 @@
                 let just_now = since.is_some();
                 log::info!(zone, version, endpoints, just_now; "zone evacuated");
             }
-            ZoneState::Restored => log::info!(zone, version, endpoints; "zone taken back"),
+            ZoneState::TakenBack => {
+                log::info!(zone, version, endpoints; "zone evacuation withdrawn")
+            }
         }
     }
 }
--- a/crates/citronway/src/gateway/control/cold.rs
+++ b/crates/citronway/src/gateway/control/cold.rs
@@ -1,4 +1,4 @@
-//! Sends to cold endpoints: asked of the leader, and granted as the leader.
+//! Sends to cold endpoints: requested from the leader, and granted as the leader.
 
 use std::net::SocketAddr;
 
@@ -14,8 +14,8 @@
 use crate::clock;
 use crate::gateway::traffic::ColdQuery;
 
-/// Time after which an answer of the leader is of no use, in milliseconds: longer than the
-/// traffic waits for it.
+/// Time after which a reply of the leader is of no use, in milliseconds: longer than the
+/// traffic thread waits for it.
 const REPLY_TIMEOUT_MS: u64 = 500;
 
 #[derive(Debug)]
@@ -24,12 +24,12 @@
     at: Mono,
 }
 
-/// What this instance knows of sends to cold endpoints.
+/// Sends to cold endpoints that this instance requested or granted.
 #[derive(Debug, Default)]
 pub(super) struct ColdSendState {
-    /// Those of all instances, while this one leads.
-    granted: ColdSendLimiter,
-    /// Term in which it granted them.
+    /// Sends of all instances, granted while this instance leads.
+    granted: ColdSends,
+    /// Term in which `granted` were granted.
     term: u64,
     pending: IndexMap<u64, PendingRequest>,
 }
@@ -46,20 +46,20 @@
 }
 
 impl Control {
-    /// Takes what the traffic asks about a cold endpoint.
+    /// Handles a request of the traffic thread for a send to a cold endpoint.
     pub(super) fn on_cold_ask(&mut self, socket: &UdpSocket, ask: ColdAsk) {
         let now = clock::mono();
         if self.leadership.is_leader() {
             let term = self.leadership.term();
             let part = self.leadership.cold_part(now);
             let granted = self.cold.granted_in(now, term);
-            let grant = granted.request_with_share(now, &ask.req, part);
-            // Its caller may have left.
+            let grant = granted.request_of(now, &ask.req, part);
+            // The caller may have left.
             let _ = ask.reply.send(grant);
             return;
         }
         let Some(leader) = self.reachable_leader(now) else {
-            // Dropped without an answer: the endpoint gets nothing.
+            // The request is dropped without a reply, and nothing is sent to the endpoint.
             return;
         };
         self.cold
@@ -77,14 +77,14 @@
             .insert(ask.number, PendingRequest { reply, at: now });
     }
 
-    /// As the leader, counts from the first moment in office what its predecessor granted.
+    /// As the leader, counts sends that its predecessor granted from the moment it leads.
     pub(super) fn step_cold(&mut self, now: Mono) {
         if self.leadership.is_leader() {
             self.cold.granted_in(now, self.leadership.term());
         }
     }
 
-    /// Takes a request of another instance.
+    /// Handles a request of another instance.
     pub(super) fn on_cold_request(
         &mut self,
         socket: &UdpSocket,
@@ -107,7 +107,7 @@
         self.send_cold_message(socket, &Datagram::ColdReply(reply), from);
     }
 
-    /// Takes the answer of the leader.
+    /// Handles the leader's reply to a request of this instance.
     pub(super) fn on_cold_reply(&mut self, reply: &ColdReply) {
         if reply.session != self.me.id {
             return;
@@ -115,7 +115,7 @@
         let Some(pending) = self.cold.pending.swap_remove(&reply.number) else {
             return;
         };
-        // Its caller may have left.
+        // The caller may have left.
         let _ = pending.reply.send(reply.grant);
     }
 
--- a/crates/citronway/src/gateway/control/copies.rs
+++ b/crates/citronway/src/gateway/control/copies.rs
@@ -1,9 +1,10 @@
-//! Rows that one instance gives to another: whole tables where the store cannot be asked,
-//! and in large fleets what was lost on the way.
+//! Copies of rows from one instance to another: whole tables where the store can't be
+//! asked, and in large fleets rows that were lost on the way.
 //!
-//! One connection a copy, on the TCP port of the reports: the asking side sends the code of
-//! a table, with [`SINCE`] and the version of its newest row if it has any; the other answers
-//! with a relay of all rows, or of the newer ones, and closes.
+//! Each copy uses one connection, on the TCP port of the reports. The requesting side sends
+//! the code of a table; if it has rows, it adds [`SINCE_FLAG`] and the version of its
+//! newest row. The other side answers with a relay of all rows, or of the newer ones, and
+//! closes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -24,45 +25,47 @@
 use super::{Control, Event};
 use crate::gateway::http_link::CONNECT_TIMEOUT;
 
-/// Longest time for a copy to come: a configuration of 400 KB takes 0.4 s over a link of
-/// 10 Mbit/s, and some ask at the same time.
+/// Timeout of a copy: a configuration of 400 KB takes 0.4 s over a link of 10 Mbit/s, and
+/// several instances may request one at the same time.
 const COPY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Largest copy that is read, in bytes; a configuration of 10,000 routes has 2 MB.
+/// Largest copy that is read; a configuration of 10,000 routes has 2 MB.
 const MAX_COPY_BYTES: u64 = 8 * 1024 * 1024;
 
-/// Copies that one instance gives at the same time; whoever finds no place asks again.
+/// Most copies that an instance sends at the same time. Further requests are closed, and
+/// the requesting instances try again.
 const MAX_CONCURRENT_COPIES: usize = 8;
 
-/// Added to the code of a table: only rows after a version are wanted.
+/// Added to the code of a table: only rows newer than a version are requested.
 const SINCE_FLAG: u8 = 0x10;
 
-/// Why no copy came.
+/// Why a copy failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CopyError {
-    /// The connection was not made or broke.
+    /// The connection could not be opened, or it broke.
     #[error("the connection failed: {0}")]
     Connection(#[from] io::Error),
-    /// It took too long.
-    #[error("no copy in time")]
+    /// The copy did not come within [`COPY_TIMEOUT`].
+    #[error("copy did not come in time")]
     Timeout(#[from] tokio::time::error::Elapsed),
-    /// What came cannot be read.
-    #[error("the copy cannot be read: {0}")]
+    /// The answer is malformed.
+    #[error("malformed copy: {0}")]
     Unreadable(#[from] ReportError),
-    /// What came is no copy of the table.
-    #[error("the answer is no copy of the table")]
+    /// The answer is not a copy of the requested table.
+    #[error("the answer is not a copy of the requested table")]
     WrongContent,
 }
 
 impl Control {
-    /// Asks an instance that has newer rows for all of a table.
+    /// Requests a copy of a table, or of its newer rows, from an instance that has them.
     ///
-    /// Failure: the store turns some instances away. One that missed a change cannot ask for
-    /// it and goes on by old owners: one request in ten came to an endpoint that no longer
-    /// held its key, and one in twenty was refused when no second send was left. One that
-    /// starts meanwhile knows no routes and refuses everybody.
+    /// Failure: the store refuses some instances. One that missed a change can't read it
+    /// and goes on with old owners: one request in ten went to an endpoint that no longer
+    /// held its key, and one in twenty was refused when no second send was left. An
+    /// instance that starts meanwhile knows no routes and refuses all callers.
     pub(super) fn request_copy(&mut self, now: Mono, table: Table, events: &mpsc::Sender<Event>) {
-        // Hundreds that lack the same rows do not ask the leader, nor the store.
+        // Hundreds of instances that lack the same rows must ask neither the leader nor the
+        // store.
         let address = match self.place.role(now) {
             Role::Member(_) if self.place.is_new(now) => return,
             Role::Member(to) | Role::Delegate(to) => Some(to),
@@ -82,15 +85,17 @@
         let events = events.clone();
         tokio::spawn(async move {
             let copy = fetch_copy(address, table, after).await;
-            // Nobody is left to be told when the process ends.
+            // The receiver is gone when the process ends.
             let _ = events.send(Event::CopyDone { table, copy }).await;
         });
     }
 
-    /// Has rows brought that were lost on the way: by whoever passes them on, or by the store.
+    /// Fetches rows that were lost on the way, from the instance that relays them or from
+    /// the store.
     ///
-    /// Load: a relay is lost on its way to a delegate, and each of its 17 members asked the
-    /// store; after a lost history all of 295 read three tables anew, 2,100 calls.
+    /// Load: a relay was lost on its way to a delegate, and each of its 17 members asked
+    /// the store. After the store dropped its history, all of 295 instances read three
+    /// tables again, 2,100 calls.
     pub(super) fn fetch_missed(&mut self, now: Mono, table: Table, events: &mpsc::Sender<Event>) {
         if self.pending_copies.contains(&table) {
             return;
@@ -103,7 +108,7 @@
         }
     }
 
-    /// Takes a copy that came, or why none did.
+    /// Applies a copy that came, or logs why it failed.
     pub(super) fn on_copy_done(&mut self, now: Mono, table: Table, copy: Result<Relay, CopyError>) {
         self.pending_copies.retain(|pending| *pending != table);
         let copy = match copy {
@@ -113,8 +118,8 @@
                 return;
             }
         };
-        // The store, or a relay, has brought newer rows meanwhile. Own rows are taken one by
-        // one, each if it is newer.
+        // Meanwhile the store or a relay has brought newer rows. Own rows are applied one
+        // by one, each if it is newer.
         if table != Table::Own && copy.after.0 < self.cluster.seen_versions().of(table) {
             return;
         }
@@ -126,7 +131,7 @@
         }
     }
 
-    /// Gives another instance a copy, if this one has read the table.
+    /// Sends a copy to another instance, if this one has read the table.
     pub(super) fn send_copy(
         &mut self,
         table: Table,
@@ -136,19 +141,19 @@
         let Some(copy) = self.cluster.copy_since(table, after) else {
             return;
         };
-        // Whoever asked may have left.
+        // The requesting instance may have left.
         let _ = reply.send(datagram::encode(&Datagram::Relay(copy)));
     }
 }
 
-/// Gives copies until the task is dropped.
+/// Serves copies until the task is dropped.
 pub(super) async fn serve(listener: TcpListener, events: mpsc::Sender<Event>) {
     let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_COPIES));
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::warn!(cause = e.to_string(); "the reports' address took no connection");
+                log::warn!(cause = e.to_string(); "connection for a copy not accepted");
                 tokio::time::sleep(crate::gateway::traffic::ACCEPT_PAUSE).await;
                 continue;
             }
@@ -160,8 +165,8 @@
         tokio::spawn(async move {
             match timeout(COPY_TIMEOUT, serve_copy(stream, events)).await {
                 Ok(Ok(())) => {}
-                Ok(Err(e)) => log::debug!(cause = e.to_string(); "a copy was not given"),
-                Err(_elapsed) => log::debug!("a copy was not taken in time"),
+                Ok(Err(e)) => log::debug!(cause = e.to_string(); "copy not sent"),
+                Err(_elapsed) => log::debug!("copy not sent in time"),
             }
             drop(permit);
         });
@@ -182,7 +187,7 @@
         after,
         reply,
     };
-    // Without an answer the process ends, or has nothing to give.
+    // No copy comes if the process ends or the table was never read.
     if events.send(requested).await.is_err() {
         return Ok(());
     }
@@ -194,7 +199,7 @@
     Ok(())
 }
 
-/// Asks another instance for the rows of a table after a version.
+/// Fetches the rows of a table that are newer than a version from another instance.
 pub(super) async fn fetch_copy(
     address: SocketAddr,
     table: Table,
--- a/crates/citronway/src/gateway/control/crashes.rs
+++ b/crates/citronway/src/gateway/control/crashes.rs
@@ -1,7 +1,8 @@
-//! Crashes of endpoints by requests: what this instance and others saw, and the stored row.
+//! Crashes of endpoints by requests: signs that this instance and others saw, and the
+//! stored row.
 //!
-//! The row is followed by all instances and written by the leader. It outlives all of them;
-//! what others tell reaches an instance also while the store is away.
+//! All instances poll the row, and the leader writes it. The row outlives all instances;
+//! reports and totals reach an instance also while the store is away.
 
 use std::sync::Arc;
 
@@ -22,44 +23,44 @@
 use crate::gateway::metrics::Metrics;
 use crate::observe;
 
-/// Time between two writes of the row, in milliseconds.
+/// Shortest time from one write of the row to the next, in milliseconds.
 const WRITE_PAUSE_MS: u64 = 300;
 
-/// The same after a write that was not done, in milliseconds.
+/// Pause after a write of the row that failed, in milliseconds.
 const RETRY_PAUSE_MS: u64 = 150;
 
-/// Time from the first news for the row until it is written, in milliseconds: all instances
-/// tell of one crash within it.
+/// Time from the first change for the row until it is written, in milliseconds: all
+/// instances report one crash within it.
 const BATCH_MS: u64 = 50;
 
-/// Time for which suspects that were cleared stay in the row, in milliseconds. After a start
-/// they are tried once more, and cleared by the next answer.
+/// Time for which cleared suspects stay in the row, in milliseconds. Instances that start
+/// meanwhile try them once more, and the next answer clears them.
 const CLEARED_KEPT_MS: u64 = 10_000;
 
-/// What this instance knows of crashes.
+/// Crashes by requests, as this instance knows them.
 #[derive(Debug, Default)]
 pub(super) struct Crashes {
-    /// Order of this instance among all.
+    /// Rank of this instance, by which all instances are ordered.
     rank: u64,
     ledger: Ledger,
     outbox: SignQueue,
     taken: SignReceiver,
     row: Option<StoredCrashes>,
     version: Version,
-    /// A row was read.
+    /// A row was read at least once.
     has_loaded: bool,
-    /// The row that stands cannot be read.
+    /// The stored row is malformed.
     unreadable: bool,
-    known: Arc<CrashSnapshot>,
-    /// What changed for callers since it was logged.
+    known: Arc<Known>,
+    /// Changes for callers that are not logged yet.
     verdicts: Vec<Verdict>,
-    /// Leader to whom all was told.
+    /// Term of the last leader to which all signs were reported.
     sent_term: u64,
     writing: bool,
     write_after: Mono,
-    /// Since when the row lacks something.
+    /// Since when the row has been out of date; `None` if it is up to date.
     outdated_since: Option<Mono>,
-    /// When the row was last seen to change.
+    /// When a change of the row was last seen.
     row_changed_at: Mono,
 }
 
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Takes the row, or that it was removed.
+    /// Applies the row, or its removal.
     pub(super) fn apply_row(&mut self, now: Mono, row: &Row) -> Result<(), serde_json::Error> {
         if row.version <= self.version {
             return Ok(());
@@ -80,12 +81,12 @@
         self.row_changed_at = now;
         let value = row.value.as_deref();
         let read = value.map(serde_json::from_slice::<StoredCrashes>);
-        // What is known holds on; another version of the product may have written the row.
+        // What is known stays: another version of the product may have written the row.
         self.unreadable = read.as_ref().is_some_and(Result::is_err);
         let stored = read.transpose()?;
         let refused = stored.as_ref().map_or(0, |stored| stored.refused.len());
         log::info!(version = row.version.0, refused, removed = stored.is_none(); "row about crashes");
-        // Fingerprints under another key have nothing in common with those that are known.
+        // Fingerprints under different keys can't be compared.
         let key_before = self.row.as_ref().map(|row| row.key);
         if key_before.is_some() && key_before != stored.as_ref().map(|row| row.key) {
             self.ledger.clear();
@@ -103,7 +104,7 @@
     /// Takes the suspects of the first row that is read.
     ///
     /// Failure guarded against: all instances end and start again, and work that crashed
-    /// endpoints before is sent at all of them at once. Later rows tell nothing that the
+    /// endpoints before is sent at all of them at once. Later rows hold nothing that the
     /// others do not report, and may name work that was cleared since.
     fn load_suspects(&mut self, now: Mono, stored: Option<&StoredCrashes>) {
         if std::mem::replace(&mut self.has_loaded, true) {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Takes what this instance's own traffic saw.
+    /// Records signs of this instance's own traffic.
     pub(super) fn record_own_signs(&mut self, now: Mono, signs: &[Sign]) {
         for sign in signs {
             self.verdicts.extend(self.ledger.apply(now, *sign));
@@ -123,7 +124,8 @@
         self.refresh();
     }
 
-    /// Takes what another instance reports; `passes_on` if this one reports for it.
+    /// Records signs that another instance reports; with `forwards`, this instance reports
+    /// them on as a delegate.
     fn record_report(&mut self, now: Mono, report: &Report, forwards: bool) {
         for sign in self.taken.fresh(report) {
             self.verdicts.extend(self.ledger.take(now, *sign));
@@ -134,7 +136,7 @@
         self.refresh();
     }
 
-    /// Takes what the leader tells.
+    /// Applies the totals of the leader.
     pub(super) fn apply_totals(&mut self, now: Mono, totals: &Totals) {
         for refused in &totals.refused {
             self.verdicts
@@ -146,13 +148,13 @@
         self.refresh();
     }
 
-    /// Takes a crash that another instance tells the leader of.
+    /// As the leader, records a crash that ended a trial.
     pub(super) fn record_crash(&mut self, now: Mono, sign: Sign) {
         self.verdicts.extend(self.ledger.take(now, sign));
         self.refresh();
     }
 
-    /// Takes from the leader that an endpoint has answered the work.
+    /// Records the leader's reply that an endpoint has answered the work.
     pub(super) fn record_answer(&mut self, now: Mono, work: Fingerprint) {
         let answered = Sign::Answered { work };
         self.verdicts.extend(self.ledger.apply(now, answered));
@@ -164,24 +166,25 @@
         self.outbox.has_news()
     }
 
-    /// Takes what the next report says, and the number of its first sign.
+    /// Returns the signs for the next report, and the number of the first of them.
     pub(super) fn take_signs(&mut self) -> (u64, Vec<Sign>) {
         self.outbox.take()
     }
 
-    /// What a leader tells: harmful work, and suspects.
-    pub(super) fn totals(&self, now: Mono) -> (Vec<RefusedWork>, Vec<Fingerprint>) {
+    /// Harmful work and suspects, for the leader's totals.
+    pub(super) fn totals(&self, now: Mono) -> (Vec<Refused>, Vec<Fingerprint>) {
         (self.ledger.harmful(now), self.ledger.suspects(now))
     }
 
-    /// What the traffic goes by.
-    pub(super) fn known(&self) -> Arc<CrashSnapshot> {
+    /// Crashes as the traffic thread uses them.
+    pub(super) fn known(&self) -> Arc<Known> {
         Arc::clone(&self.known)
     }
 
-    /// Forgets what no longer counts; has a new leader told of all that does.
+    /// Drops what has expired, and reports all remaining signs to a new leader.
     ///
-    /// Failure: the leader that counted the crashes is lost, and its successor begins anew.
+    /// Failure: the leader that counted the crashes is lost, and its successor starts with
+    /// no count.
     fn step(&mut self, now: Mono, term: u64) {
         self.verdicts.extend(self.ledger.expire(now));
         if self.sent_term < term {
@@ -193,11 +196,11 @@
         self.refresh();
     }
 
-    /// Tells the newest crashes once more, for an instance that has just started.
+    /// Reports the newest signs once more, for an instance that has just started.
     ///
-    /// Failure guarded against: instances are restarted in turn, hear nothing of what the
-    /// others have told before, and send copies of a suspect without asking. One report holds
-    /// what is told, so that it does not keep news waiting.
+    /// Failure guarded against: during a rolling restart, new instances have missed earlier
+    /// signs and send copies of a suspect without a trial. The signs fit into one report,
+    /// so that they do not delay new ones.
     pub(super) fn resend_newest_signs(&mut self) {
         for sign in self.ledger.newest_signs(MOST_SIGNS) {
             self.outbox.push(sign);
@@ -211,7 +214,7 @@
         }
     }
 
-    /// What the leader is to write now.
+    /// Content of the row that the leader must write now; `None` if no write is due.
     fn row_to_write(&mut self, now: Mono) -> Option<StoredCrashes> {
         if self.writing || self.unreadable || now < self.write_after {
             return None;
@@ -238,7 +241,7 @@
         })
     }
 
-    /// Whether the row needs not be written anew.
+    /// Whether the row need not be written again.
     fn is_row_current(
         &self,
         now: Mono,
@@ -251,7 +254,7 @@
         row.refused == refused && row.covers(suspects) && (is_same || is_fresh)
     }
 
-    /// Version that the row must have to be written.
+    /// Version that the stored row must have for a write to succeed; 0 if there is no row.
     const fn expected(&self) -> Version {
         match self.row {
             Some(_) => self.version,
@@ -261,21 +264,22 @@
 }
 
 impl Control {
-    /// Takes signs that another instance reports.
+    /// Records signs that another instance reports; with `forwards`, this instance reports
+    /// them on as a delegate.
     pub(super) fn record_signs(&mut self, now: Mono, report: &Report, forwards: bool) {
         self.trials.record_crashes(&report.signs);
         self.cluster.crashes.record_report(now, report, forwards);
     }
 
-    /// Brings what is known of crashes up to date, and writes the row where it is to change.
+    /// Expires signs, publishes verdicts, and writes the row if it is due.
     pub(super) fn step_crashes(&mut self, now: Mono, events: &mpsc::Sender<Event>) {
         let crashes = &mut self.cluster.crashes;
         crashes.step(now, self.leadership.term());
         for verdict in crashes.verdicts.drain(..) {
             report_verdict(&self.metrics, &verdict);
         }
-        self.metrics.set_crash_suspects(crashes.ledger.len());
-        // Whoever decides by it is told at once.
+        self.metrics.crash_suspects(crashes.ledger.len());
+        // A change is published at once, as the traffic thread decides by it.
         let view = self.view.borrow();
         let is_new = !Arc::ptr_eq(&view.crashes, &crashes.known);
         drop(view);
@@ -287,7 +291,7 @@
         let Some(leader_version) = self.leadership.row_version() else {
             return;
         };
-        // The leader's row is about to have another version, and this write would be refused.
+        // A claim changes the version of the leader's row, and this write would be refused.
         if self.cluster.store_lost() || self.leadership.is_claim_pending() {
             return;
         }
@@ -319,12 +323,12 @@
                 log::info!(cause = e.to_string(); "row about crashes not written");
             }
             let done = written.is_ok();
-            // Nobody is left to be told when the process ends.
+            // The receiver is gone when the process ends.
             let _ = events.send(Event::CrashesWritten { done }).await;
         });
     }
 
-    /// Notes that a write of the row has ended; what stands comes by the feed.
+    /// Handles the end of a write of the row. The stored row comes by the next poll.
     pub(super) fn on_crashes_written(&mut self, now: Mono, done: bool) {
         let crashes = &mut self.cluster.crashes;
         crashes.writing = false;
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -120,7 +120,7 @@
             .as_ref()
             .is_some_and(|row| row.term < term)
         {
-            self.step_down("a later leader is heard of");
+            self.step_down("a leader of a later term is known");
         }
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Part of all sends to cold endpoints that this leader may grant now, from 0 to 1;
-    /// `None` if this instance does not lead.
+    /// `None` if this instance does not lead or may grant none.
     pub(super) fn cold_part(&self, now: Mono) -> Option<f64> {
         let row = self.leadership_row.as_ref()?;
         let state = Office {
@@ -354,7 +354,7 @@
                         Ok(write) => due.writes.push(write),
                         Err(e) => {
                             let service = service.as_str();
-                            log::error!(service, cause = e.to_string(); "row not written");
+                            log::error!(service, cause = e.to_string(); "assignment not written");
                         }
                     },
                 }
@@ -462,7 +462,7 @@
                 return None;
             }
         };
-        log::info!(term; "claiming the leader's duty");
+        log::info!(term; "claiming leadership");
         self.claim_pending = true;
         if self
             .first_claim
--- a/crates/citronway/src/gateway/control/entries.rs
+++ b/crates/citronway/src/gateway/control/entries.rs
@@ -1,7 +1,7 @@
 //! Endpoints' entries, as they come from the store.
 //!
-//! One rule for all of them: an entry that cannot be used names no endpoint, also under
-//! the name of one that is known, and all others hold.
+//! An entry that can't be used lists no endpoint, also if an endpoint of its name was known
+//! before. All other entries stay in force.
 
 use std::sync::Arc;
 
@@ -13,30 +13,31 @@
 use super::cluster::Cluster;
 use super::unusable::Source;
 
-/// What an entry says.
+/// Content of an entry.
 enum EntryState {
     Registration(Listing),
     Removed,
-    /// It cannot be used, and why.
+    /// The entry can't be used, with the cause.
     Unusable(String),
 }
 
 impl Cluster {
-    /// Takes entries; `whole` is the version of the store if these are all there are.
+    /// Applies entries; `whole` is the version of the store if `rows` are all entries.
     pub(super) fn apply_endpoint_rows(&mut self, now: Mono, rows: &[Row], whole: Option<Version>) {
         if let Some(version) = whole {
             self.remove_unlisted(now, rows, version);
         }
         for row in rows {
-            // Failure: relayed rows overtake each other, and an endpoint that leaves
-            // seems ready again. Versions of a row only grow.
+            // Failure: relayed rows overtake each other, and a draining endpoint seems
+            // ready again. Versions of a row only grow.
             let newest = self.entries.entry(row.key.clone()).or_default();
             if *newest > row.version {
                 continue;
             }
             *newest = row.version;
             let state = self.read_entry(row);
-            // Load: 3,000 lines of each of 300 instances at a start, on a tenth of a core.
+            // Load: at a start, each of 300 instances logged 3,000 lines, on a tenth of a
+            // core.
             let level = if whole.is_some() {
                 log::Level::Debug
             } else {
@@ -46,15 +47,15 @@
         }
         if let Some(version) = whole {
             let endpoints = self.registry.iter().count();
-            log::info!(endpoints, version = version.0; "all endpoints read");
+            log::info!(endpoints, version = version.0; "all endpoint entries read");
         }
     }
 
-    /// Drops endpoints whose entries are not among all that there were at `version`.
+    /// Removes endpoints whose entries are not in `rows`, all entries at `version`.
     fn remove_unlisted(&mut self, now: Mono, rows: &[Row], version: Version) {
         let registry = Arc::make_mut(&mut self.registry);
         for name in registry.names() {
-            // One that was relayed since the rows were read is not among them.
+            // An entry that was relayed since the rows were read is not in them.
             let later = self.entries.get(name.as_str());
             let is_later = later.is_some_and(|entry| *entry > version);
             if !is_later && !rows.iter().any(|row| row.key == name.as_str()) {
@@ -69,7 +70,8 @@
             return EntryState::Removed;
         };
         match citronway_platform::endpoints::decode(&row.key, value) {
-            // Failure: an entry names this instance, which would send requests to itself.
+            // Failure: an entry has an address of this instance, which would send requests
+            // to itself.
             Ok(listing) if self.own_addresses.contains(&listing.address) => EntryState::Unusable(
                 format!("{} is an address of this instance", listing.address),
             ),
--- a/crates/citronway/src/gateway/control/first.rs
+++ b/crates/citronway/src/gateway/control/first.rs
@@ -1,9 +1,9 @@
-//! Who asks the store at the first start of a whole system.
+//! Limits which instances read the store at the first start of a deployment.
 //!
-//! Load: 295 instances start within 0.3 s, each reads three tables of which nothing stands
-//! in the store yet, and asks for each of them again when something does: 2,400 calls
-//! before the first caller comes. Now the strong machines and a few others read, one of
-//! them leads, and the rest are called and given copies by delegates of their zone.
+//! Load: 295 instances start within 0.3 s. Each reads three tables while the store has no
+//! rows, and asks for each of them again when rows are written: 2,400 calls before the
+//! first caller comes. Therefore only the strong machines and a few others read. One of
+//! them leads, and delegates in each zone send copies to the rest.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -21,37 +21,37 @@
 use super::store::Store;
 use super::{Control, Event, own_rows};
 
-/// One in so many weak machines reads the store too, for fleets without strong ones.
+/// One weak machine in this many reads the store too, for fleets without strong ones.
 const READER_ONE_IN: u64 = 16;
 
 /// Time over which weak machines list themselves in the store, in milliseconds: it writes
 /// 200 rows of a table a second.
 const REGISTER_SPREAD_MS: u64 = 1_500;
 
-/// Time after the start in which copies are waited for, in milliseconds: a leader is there
-/// after 0.7 s, all are listed 1.5 s after their start, and a delegate gives a copy of a few
-/// hundred kilobytes to each of its members within 2 s.
+/// Time after the start for which copies are waited for, in milliseconds: a leader is there
+/// after 0.7 s, all instances are listed 1.5 s after their start, and a delegate sends a
+/// copy of a few hundred kilobytes to each of its members within 2 s.
 const COPIES_TIMEOUT_MS: u64 = 5_000;
 
 /// Whether the store lists this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Registration {
-    /// Not that it is known.
+    /// The store is not known to list it.
     NotStarted,
-    /// Its row is being written.
+    /// The row of this instance is being written.
     Pending,
-    /// Its row stands.
+    /// The row of this instance is stored.
     Done,
 }
 
-/// Whether this instance waits for copies.
+/// Whether this instance waits for copies at its start.
 pub(super) fn starts_from_copies(cfg: &InstanceSettings) -> bool {
     let reads =
         cfg.strength == Strength::FULL || rank_of(&cfg.instance).is_multiple_of(READER_ONE_IN);
     cfg.first_start && !reads
 }
 
-/// How long after its start this instance lists itself, in milliseconds.
+/// Time from the start until this instance lists itself, in milliseconds.
 pub(super) fn register_after_ms(cfg: &InstanceSettings) -> u64 {
     if cfg.strength == Strength::FULL {
         return 0;
@@ -60,11 +60,11 @@
 }
 
 impl Control {
-    /// Has this instance listed in the store once it has read who is.
+    /// Lists this instance in the store, after it has read the instances that are listed.
     ///
     /// Load: 295 instances start within 0.3 s, and the store writes 200 rows of a table a
-    /// second; those that came last were refused and asked again, and the claims of the
-    /// leader's duty waited behind them. After a restart the row stands already.
+    /// second. The last writes were refused and tried again, and claims of leadership
+    /// waited behind them. After a restart the row is already there.
     pub(super) fn register(&mut self, events: &mpsc::Sender<Event>) {
         let knows = self.cluster.own_loaded() || self.awaits_copies();
         if self.registration != Registration::NotStarted || !knows {
@@ -90,13 +90,14 @@
         });
     }
 
-    /// Whether this instance waits for copies instead of asking the store.
+    /// Whether this instance waits for copies instead of polling the store.
     pub(super) fn awaits_copies(&self) -> bool {
         let mut polls = self.polls.iter();
         polls.any(|(_, control)| control.awaits_copy.load(Ordering::Relaxed))
     }
 
-    /// Has the store asked after all where no copies came.
+    /// Starts polling the store when all tables were copied, or when copies did not come in
+    /// time.
     pub(super) fn end_copy_wait(&self, now: Mono) {
         if !self.awaits_copies() {
             return;
@@ -114,12 +115,13 @@
     }
 }
 
-/// Writes the row by which other instances find this one, until it stands.
+/// Writes the row by which other instances find this one, and tries again until it is
+/// stored.
 async fn write_row(store: SocketAddr, row: InstanceRow, events: mpsc::Sender<Event>) {
     let value = match serde_json::to_vec(&row) {
         Ok(value) => value,
         Err(e) => {
-            log::error!(cause = e.to_string(); "instance cannot be listed");
+            log::error!(cause = e.to_string(); "instance row cannot be encoded");
             return;
         }
     };
--- a/crates/citronway/src/gateway/control/following.rs
+++ b/crates/citronway/src/gateway/control/following.rs
@@ -82,7 +82,7 @@
                 self.request_copy(now, table, events);
                 continue;
             }
-            log::info!(table = table.word(); "others see newer rows, asking anew");
+            log::info!(table = table.word(); "others have newer rows; refreshing the table");
             if table == Table::Own && self.cluster.lacks_leader(self.leadership.term()) {
                 self.reload_own_rows();
             }
--- a/crates/citronway/src/gateway/control/hearing.rs
+++ b/crates/citronway/src/gateway/control/hearing.rs
@@ -59,7 +59,7 @@
             Ok(Datagram::TrialEnd(ended)) => self.on_trial_end(&ended),
             Ok(Datagram::ColdRequest(asked)) => self.on_cold_request(socket, &asked, from),
             Ok(Datagram::ColdReply(reply)) => self.on_cold_reply(&reply),
-            Err(e) => log::warn!(cause = e.to_string(); "a datagram was dropped"),
+            Err(e) => log::warn!(cause = e.to_string(); "malformed datagram dropped"),
         }
     }
 
--- a/crates/citronway/src/gateway/control/kept_rows.rs
+++ b/crates/citronway/src/gateway/control/kept_rows.rs
@@ -1,13 +1,13 @@
-//! Rows of the followed tables as they came, for instances that cannot ask the store.
+//! Rows of the polled tables as they came, for instances that can't ask the store.
 
 use citronway_core::gateway::rows::{Row, Table};
 use citronway_core::ids::Version;
 use indexmap::{IndexMap, IndexSet};
 
-/// The newest row of each key, removed ones too.
+/// The newest row of each key, also of removed ones.
 ///
-/// An endpoint's entry that is gone is kept without its value, so that whoever has an older
-/// one learns it.
+/// A removed row is kept without its value as a tombstone, so that an instance with an
+/// older row learns of the removal.
 #[derive(Debug, Default)]
 pub(super) struct KeptRows {
     config: IndexMap<String, Row>,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Keeps rows; older ones than those that are kept change nothing.
+    /// Keeps rows, except those that are older than the kept ones.
     pub(super) fn keep(&mut self, table: Table, rows: &[Row]) {
         let kept = self.of_mut(table);
         for row in rows {
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Keeps all rows that there are at a version; keys that are no longer among them are kept
-    /// as removed, so that whoever asks for newer rows learns it.
+    /// Keeps `rows`, all rows of a table at a version. Keys that are not in them become
+    /// tombstones, so that an instance that requests newer rows learns of the removal.
     pub(super) fn replace(&mut self, table: Table, rows: &[Row], version: Version) {
         let listed: IndexSet<_> = rows.iter().map(|row| row.key.as_str()).collect();
         for row in self.of_mut(table).values_mut() {
@@ -56,7 +56,7 @@
         self.keep(table, rows);
     }
 
-    /// All rows of a table.
+    /// All rows of a table, including tombstones.
     pub(super) fn rows(&self, table: Table) -> impl Iterator<Item = &Row> {
         self.of(table).values()
     }
--- a/crates/citronway/src/gateway/control/mod.rs
+++ b/crates/citronway/src/gateway/control/mod.rs
@@ -452,10 +452,10 @@
                 self.cfg.retries = cfg.retries;
                 self.cfg.grace_ms = cfg.grace_ms;
             }
-            Err(e) => log::error!(cause = e.to_string(); "settings stay as they are"),
+            Err(e) => log::error!(cause = e.to_string(); "settings not reloaded"),
         }
         let up_ms = clock::mono().since(self.started);
-        log::info!(up_ms; "reload done");
+        log::info!(up_ms; "reload finished");
     }
 }
 
@@ -466,7 +466,7 @@
         Err(StoreError::Refused(StoreRefusal::Busy(_))) => WriteResult::NotDone,
         Err(StoreError::Call(e)) if e.is_unsent() => WriteResult::NotDone,
         Err(e) => {
-            log::info!(cause = e.to_string(); "outcome of a write is not known");
+            log::info!(cause = e.to_string(); "outcome of an assignment write is unknown");
             WriteResult::Unknown
         }
     }
--- a/crates/citronway/src/gateway/control/orders.rs
+++ b/crates/citronway/src/gateway/control/orders.rs
@@ -1,4 +1,4 @@
-//! Carries the leader's orders out.
+//! Sends the leader's orders to endpoints.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -21,21 +21,22 @@
 }
 
 impl OrderClient {
-    /// Starts an order; its result comes as an event.
+    /// Starts an order. Its result comes as an event.
     pub(super) fn start(&self, order: Order, events: mpsc::Sender<Event>) {
         let client = self.clone();
         tokio::task::spawn_local(async move {
             let result = client.execute(&order).await;
             log_result(&order, &result);
-            // Nobody is left to be told when the process ends.
+            // The receiver is gone when the process ends.
             let _ = events.send(Event::OrderDone { order, result }).await;
         });
     }
 
     async fn execute(&self, order: &Order) -> OrderResult {
-        // Failure: this thread is busy and starts the call long after it was decided. Its
-        // leader counts from the decision, and gives the keys on before the hold ends.
-        let left_ms = order.deadline.since(clock::mono());
+        // Failure: this thread is busy and starts the call long after it was decided. The
+        // leader counts from the decision, and gives the keys to another endpoint before
+        // this hold ends.
+        let left_ms = order.until.since(clock::mono());
         if left_ms == 0 {
             return OrderResult::TooLate;
         }
@@ -70,13 +71,13 @@
         links.entry(address).or_default().push(link);
     }
 
-    /// Takes a connection that may carry the order.
+    /// Takes an idle connection that may carry the order; `None` if there is none.
     fn take_link(&self, order: &Order) -> Option<Link> {
         let mut links = self.links.borrow_mut();
         let kept = links.get_mut(&order.address)?;
         kept.retain(|link| !link.is_closed());
-        // The one that was idle longest: a new connection to a full endpoint waits for a
-        // slot, so those that there are must not lapse for want of use.
+        // Takes the connection that was idle longest. A new connection to a full endpoint
+        // waits for a slot, so existing ones must not close because they are unused.
         let may_carry = |link: &Link| link.is_usable() && link.opened() < order.connect_by;
         let first = kept.iter().position(may_carry)?;
         Some(kept.remove(first))
@@ -93,7 +94,7 @@
         OrderKind::Release => "release",
     };
     let renewed = matches!(result, OrderResult::Done { .. }) && what == "grant";
-    // Tried again four times a second for as long as the store is silent.
+    // These orders are tried again four times a second while the store is silent.
     let routine = renewed || *result == OrderResult::NotConnected;
     let level = if routine {
         log::Level::Debug
@@ -101,5 +102,5 @@
         log::Level::Info
     };
     let result = format!("{result:?}");
-    log::log!(level, endpoint:%, first, last, fence, what, result; "order answered");
+    log::log!(level, endpoint:%, first, last, fence, what, result; "order ended");
 }
--- a/crates/citronway/src/gateway/control/own_rows.rs
+++ b/crates/citronway/src/gateway/control/own_rows.rs
@@ -268,7 +268,7 @@
         Ok(value) => value,
         Err(e) => {
             let service = service.as_str();
-            log::error!(service, cause = e.to_string(); "an assignment cannot be copied");
+            log::error!(service, cause = e.to_string(); "assignment cannot be encoded");
             return None;
         }
     };
--- a/crates/citronway/src/gateway/control/placing.rs
+++ b/crates/citronway/src/gateway/control/placing.rs
@@ -1,4 +1,4 @@
-//! Looks at the load of keys and endpoints and has the leaders begin moves.
+//! Starts moves of keys between endpoints, by the load of keys and endpoints.
 
 use citronway_core::gateway::keyload::KeyLoads;
 use citronway_core::gateway::leader::Leader;
@@ -12,32 +12,33 @@
 
 use super::cluster::Cluster;
 
-/// Time between two looks at the placement, in milliseconds: as often as reports come.
+/// Time between two passes of the placement, in milliseconds: as often as reports come.
 const PLACE_INTERVAL_MS: u64 = 100;
 
-/// The same after moves have begun: these show in the queues first.
+/// Time to the next pass after moves have started, in milliseconds: their effect shows in
+/// the queues first.
 const AFTER_MOVES_MS: u64 = 300;
 
-/// Time in which samples of keys lose half of their weight, in milliseconds, where their
-/// load does not change: an endpoint that does seven requests a second has 60 in it.
+/// Half-life of the weight of key samples whose load is steady, in milliseconds: an
+/// endpoint that serves seven requests a second has 60 samples in it.
 const STEADY_HALF_LIFE_MS: f64 = 6_000.0;
 
-/// The same where it does: a hot range lasts a few seconds, and its callers queue until it
-/// is seen.
+/// Half-life of the weight of key samples whose load changes, in milliseconds: a hot range
+/// lasts a few seconds, and its callers queue until it is detected.
 const RECENT_HALF_LIFE_MS: f64 = 400.0;
 
-/// How long the first endpoint of a service is listed before its keys are divided,
-/// in milliseconds: others that start with it list themselves meanwhile.
+/// Time from the listing of a service's first endpoint until its keys are divided, in
+/// milliseconds: endpoints that start at the same time list themselves meanwhile.
 const FIRST_DIVISION_AFTER_MS: u64 = 1_200;
 
-/// Time of work that is assumed until answers show it, in milliseconds.
+/// Service time that is assumed until answers show it, in milliseconds.
 const DEFAULT_WORK_MS: f64 = 200.0;
 
-/// Largest share of failures that an endpoint's capacity is reduced by; some of its
-/// requests still have to show whether it is well again.
+/// Largest failure share by which an endpoint's capacity is reduced; some of its requests
+/// must still show whether it has recovered.
 const MAX_FAILURE_SHARE: f64 = 0.9;
 
-/// What the placement of all services rests on.
+/// Load of keys and service times on which the placement of all services is based.
 #[derive(Debug, Default)]
 pub(super) struct Placer {
     loads: IndexMap<ServiceName, KeyLoads>,
@@ -46,19 +47,19 @@
 }
 
 impl Placer {
-    /// Begins without knowledge of loads, as a new leader does.
+    /// Clears all loads, as a new leader starts without them.
     pub(super) fn reset(&mut self) {
         self.loads.clear();
     }
 
-    /// Takes the usual time of work at each service, in milliseconds.
+    /// Sets the typical service time of each service, in milliseconds.
     pub(super) fn set_work_ms(&mut self, work_ms: &[(ServiceName, f64)]) {
         for (service, ms) in work_ms {
             self.work_ms.insert(service.clone(), *ms);
         }
     }
 
-    /// Takes the keys that an instance was asked for.
+    /// Adds the sampled keys of an instance's report.
     pub(super) fn record_traffic(&mut self, now: Mono, report: &Report) {
         for samples in &report.keys {
             let loads = self
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Looks at all services, if it is time.
+    /// Runs a pass over all services, if it is due.
     pub(super) fn place(
         &mut self,
         now: Mono,
@@ -128,11 +129,11 @@
             return;
         }
         self.next_at = now.plus(AFTER_MOVES_MS);
-        log::info!(service = service.as_str(), moves = moves.len(); "moves begin");
-        let left_out = leader.start_moves(&moves, &cluster.registry);
+        log::info!(service = service.as_str(), moves = moves.len(); "key moves started");
+        let left_out = leader.start(&moves, &cluster.registry);
         if left_out > 0 {
             let ranges = leader.row().ranges.len();
-            log::warn!(service = service.as_str(), left_out, ranges; "the row has no room for moves");
+            log::warn!(service = service.as_str(), left_out, ranges; "assignment row has no room for all moves");
         }
     }
 }
@@ -153,7 +154,7 @@
     leader.create_assignment(&usable);
 }
 
-/// An endpoint as the placement sees it.
+/// Describes an endpoint for the placement.
 fn place_of(
     now: Mono,
     cluster: &Cluster,
--- a/crates/citronway/src/gateway/control/store.rs
+++ b/crates/citronway/src/gateway/control/store.rs
@@ -348,8 +348,8 @@
                 let now_ms = rows.now_ms;
                 Polled::Update(TableUpdate::Changed { relay, now_ms })
             }
-            Err(StoreError::Refused(StoreRefusal::HistoryGone)) => {
-                log::info!(table = self.table.as_str(); "history gone, table read anew");
+            Err(StoreError::Refused(Refused::HistoryGone)) => {
+                log::info!(table = self.table.word(); "table history is gone; reading the whole table");
                 Polled::HistoryGone
             }
             Err(e) => Polled::Update(TableUpdate::Lost(e.to_string())),
--- a/crates/citronway/src/gateway/control/trials.rs
+++ b/crates/citronway/src/gateway/control/trials.rs
@@ -1,4 +1,4 @@
-//! Trials of work under suspicion: asked of the leader, and granted as the leader.
+//! Trials of suspect work: requested from the leader, and granted as the leader.
 
 use std::net::SocketAddr;
 
@@ -17,14 +17,15 @@
 use crate::clock;
 use crate::gateway::traffic::TrialEvent;
 
-/// Time between two datagrams of one request, in milliseconds: they are lost now and then.
+/// Time between two datagrams of one request, in milliseconds, since some are lost.
 pub(super) const RESEND_MS: u64 = 25;
 
-/// Time after which the leader's answer is no longer waited for, in milliseconds.
+/// Time after which the leader's reply is no longer waited for, in milliseconds.
 const REPLY_TIMEOUT_MS: u64 = 300;
 
-/// Time without an answer of any leader after which an instance tries work in its turn, in
-/// milliseconds: longer than most changes of the leader.
+/// Time without a reply of any leader after which an instance grants trials itself, at its
+/// place in the order of instances, in milliseconds: longer than most changes of the
+/// leader.
 const LEADERLESS_AFTER_MS: u64 = 2_000;
 
 /// A request that the leader has not answered yet.
@@ -36,22 +37,22 @@
     sent: Mono,
 }
 
-/// What this instance knows of trials.
+/// Trials that this instance requested or granted.
 #[derive(Debug, Default)]
 pub(super) struct TrialState {
     /// Trials of this instance's own traffic.
     own: Trials,
-    /// Those of all instances, while this one leads.
+    /// Trials of all instances, granted while this instance leads.
     granted: Trials,
-    /// Term in which it granted them.
+    /// Term in which `granted` were granted.
     term: u64,
     pending: IndexMap<u64, PendingRequest>,
-    /// Since when no leader has answered a request.
+    /// Since when no leader has answered a request; `None` if the last one was answered.
     unanswered_since: Option<Mono>,
 }
 
 impl TrialState {
-    /// Whether an answer of the leader is waited for.
+    /// Whether a reply of the leader is waited for.
     pub(super) fn is_waiting(&self) -> bool {
         !self.pending.is_empty()
     }
@@ -65,13 +66,13 @@
         &mut self.granted
     }
 
-    /// Whether no leader has answered for so long that none is waited for.
+    /// Whether no leader has answered for so long that trials are granted without one.
     fn is_leaderless(&mut self, now: Mono) -> bool {
         let since = *self.unanswered_since.get_or_insert(now);
         now.since(since) >= LEADERLESS_AFTER_MS
     }
 
-    /// Notes crashes: what was cleared by an answer before is under suspicion again.
+    /// Records crashes: work that an answer cleared before is suspect again.
     pub(super) fn record_crashes(&mut self, signs: &[Sign]) {
         for sign in signs {
             let Sign::Crash { work, .. } = sign else {
@@ -87,13 +88,14 @@
         if grant != TrialGrant::Granted {
             self.own.record_end(now, id, work, TrialEnd::Inconclusive);
         }
-        // The caller has left where nobody listens; then the trial ends by its own guard.
+        // If the caller has left, nobody receives this, and a guard on its side ends the
+        // trial.
         let _ = pending.reply.send(grant);
     }
 }
 
 impl Control {
-    /// Takes what the traffic asks or tells of trials.
+    /// Handles a request for a trial, or the end of one, from the traffic thread.
     pub(super) fn on_trial_event(&mut self, socket: &UdpSocket, event: TrialEvent) {
         let now = clock::mono();
         match event {
@@ -136,7 +138,7 @@
         };
         let grant = self.trials.own.request(now, &req);
         if grant != TrialGrant::Granted {
-            // Nothing was taken that would have to be given back.
+            // A grant that was refused need not be returned.
             let _ = pending.reply.send(grant);
             return;
         }
@@ -155,7 +157,7 @@
         self.trials.pending.insert(req.id.number, pending);
     }
 
-    /// As the leader, decides about a request of any instance.
+    /// As the leader, decides on a request of any instance.
     fn grant_trial(&mut self, now: Mono, req: &TrialRequest) -> TrialGrant {
         let term = self.leadership.term();
         let grant = self.trials.granted_in(now, term).request(now, req);
@@ -175,7 +177,7 @@
         let heard = known.suspects.get(&work).copied().unwrap_or(now);
         let place = self.place_among_peers(work);
         let may_send = self.trials.is_leaderless(now) && may_try_alone(now, heard, place);
-        log::info!(work:%, may_send; "no leader answers about a trial");
+        log::info!(work:%, may_send; "no leader answers a trial request");
         if may_send {
             TrialGrant::Granted
         } else {
@@ -208,10 +210,10 @@
         }
     }
 
-    /// As the leader, takes the end of a trial.
+    /// As the leader, records the end of a trial.
     ///
-    /// Failure guarded against: the next copy is granted before the crash that ended this one
-    /// is heard of by reports. So the end itself tells of the crash.
+    /// Failure guarded against: the next copy is granted before a report tells of the crash
+    /// that ended this trial. So the end of the trial itself carries the crash.
     fn record_trial_end(&mut self, now: Mono, ended: &EndedTrial) {
         let EndedTrial { id, work, end } = *ended;
         if let TrialEnd::Crashed { endpoint } = end {
@@ -223,7 +225,7 @@
         self.trials.granted_in(now, term).ended(now, id, work, end);
     }
 
-    /// Takes a message about trials that came from an address.
+    /// Handles a request for a trial that came from an address.
     pub(super) fn on_trial_request(
         &mut self,
         socket: &UdpSocket,
@@ -239,7 +241,7 @@
         self.send_trial(socket, &Datagram::TrialReply(reply), from);
     }
 
-    /// Takes the answer of the leader.
+    /// Handles the leader's reply to a request of this instance.
     pub(super) fn on_trial_reply(&mut self, reply: &TrialReply) {
         if reply.id.session != self.me.id {
             return;
@@ -255,18 +257,20 @@
         self.trials.answer(now, pending, reply.grant);
     }
 
-    /// Takes the end of another instance's trial.
+    /// Handles the end of another instance's trial.
     pub(super) fn on_trial_end(&mut self, ended: &EndedTrial) {
         if self.leadership.is_leader() {
             self.record_trial_end(clock::mono(), ended);
         }
     }
 
-    /// Asks again what is not answered, and decides without the leader what is not for long.
+    /// Sends unanswered requests again, and decides without the leader on those that timed
+    /// out.
     pub(super) fn step_trials(&mut self, socket: &UdpSocket) {
         let now = clock::mono();
         if self.leadership.is_leader() {
-            // What a new leader waits for counts from its first moment, not from a request.
+            // A new leader's wait starts when it becomes the leader, not at the first
+            // request.
             self.trials.granted_in(now, self.leadership.term());
         }
         let late = |pending: &PendingRequest| now.since(pending.since) >= REPLY_TIMEOUT_MS;
--- a/crates/citronway/src/gateway/control/unusable.rs
+++ b/crates/citronway/src/gateway/control/unusable.rs
@@ -1,12 +1,12 @@
-//! What others wrote into the store and this instance cannot use.
+//! Rows and configuration that others stored and this instance can't use.
 
 use citronway_core::findings::Findings;
 use indexmap::IndexMap;
 
-/// Findings of one configuration that are logged; the rest is counted.
+/// Most findings of one configuration that are logged; the rest is counted.
 const MAX_LOGGED_FINDINGS: usize = 20;
 
-/// Where it stands.
+/// Table or row that holds unusable content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Source {
     /// The operator's configuration, or a part of it.
@@ -28,10 +28,10 @@
     }
 }
 
-/// What could not be used, so that each is logged once and counted.
+/// Unusable content, tracked so that each case is logged once and counted.
 #[derive(Debug, Default)]
 pub(super) struct Unusable {
-    /// Why each row was last refused, by its table and key.
+    /// Cause of the last rejection of each row, by source and key.
     causes: IndexMap<(Source, String), String>,
     counts: IndexMap<Source, u64>,
 }
@@ -41,22 +41,22 @@
         *self.counts.entry(source).or_default() += more;
     }
 
-    /// Takes what was found in a configuration that is in force for all the rest.
+    /// Logs and counts the findings of a configuration whose other parts are in force.
     pub(super) fn record_findings(&mut self, findings: &Findings) {
         for finding in findings.iter().take(MAX_LOGGED_FINDINGS) {
             log::error!(cause = finding.to_string(); "part of the configuration cannot be used");
         }
         let rest = findings.len().saturating_sub(MAX_LOGGED_FINDINGS);
         if rest > 0 {
-            log::error!(rest; "more of the configuration cannot be used");
+            log::error!(rest; "further parts of the configuration cannot be used");
         }
         self.count(Source::Configuration, findings.len() as u64);
     }
 
-    /// Takes a row that cannot be used.
+    /// Logs and counts a row that can't be used.
     ///
-    /// Load: an endpoint's entry is written each second. One line for each change of
-    /// what is wrong is enough.
+    /// Load: an endpoint's entry is written each second, so a row is logged again only when
+    /// the cause changes.
     pub(super) fn record_row(&mut self, source: Source, key: &str, cause: String) {
         let at = (source, key.to_owned());
         if self.causes.get(&at) == Some(&cause) {
@@ -68,12 +68,12 @@
         self.count(source, 1);
     }
 
-    /// Takes a row that is usable or gone.
+    /// Forgets a row that can be used or was removed.
     pub(super) fn clear(&mut self, source: Source, key: &str) {
         self.causes.swap_remove(&(source, key.to_owned()));
     }
 
-    /// Counts since the last call.
+    /// Returns the counts since the last call.
     pub(super) fn take_counts(&mut self) -> IndexMap<Source, u64> {
         std::mem::take(&mut self.counts)
     }
