--- a/crates/citronway/src/gateway/control/cluster/copies.rs
+++ b/crates/citronway/src/gateway/control/cluster/copies.rs
@@ -69,12 +69,12 @@
     pub(in super::super) fn apply_copy(&mut self, now: Mono, copy: &Relay) {
         let (table, rows) = (copy.table.word(), copy.rows.len());
         log::info!(table, rows, position = copy.position.0; "table copied from another instance");
-        let whole = match copy.table {
+        let list_version = match copy.table {
             // A copy of all rows removes those that it lacks.
             Table::Config | Table::Endpoints if copy.after == Version(0) => Some(copy.position),
             Table::Config | Table::Endpoints | Table::Own => None,
         };
-        self.apply_rows(now, copy.table, &copy.rows, whole);
+        self.apply_rows(now, copy.table, &copy.rows, list_version);
         self.table_state(copy.table).advance_position(copy.position);
     }
 
--- a/crates/citronway/src/gateway/control/cluster/evacuations.rs
+++ b/crates/citronway/src/gateway/control/cluster/evacuations.rs
@@ -13,14 +13,14 @@
 
 impl Cluster {
     /// Applies rows of the operator's table. `learned_at` is the start of evacuations among
-    /// them, or `None` if they began before the table was first read. `whole` is the
+    /// them, or `None` if they began before the table was first read. `list_version` is the
     /// version of the store if `rows` are all rows of the table.
     pub(super) fn apply_evacuation_rows(
         &mut self,
         now: Mono,
         learned_at: Option<Mono>,
         rows: &[Row],
-        whole: Option<Version>,
+        list_version: Option<Version>,
     ) {
         let zones = rows.iter().filter_map(|row| {
             let zone = store::evacuated_zone(&row.key)?;
@@ -34,7 +34,7 @@
             };
             changes.extend(self.evacuations.apply_row(zone, row.version, state));
         }
-        if let Some(version) = whole {
+        if let Some(version) = list_version {
             let listed = zones.into_iter().map(|(zone, _)| zone).collect();
             changes.extend(self.evacuations.apply_listing(&listed, version));
         }
--- a/crates/citronway/src/gateway/control/cluster/mod.rs
+++ b/crates/citronway/src/gateway/control/cluster/mod.rs
@@ -165,7 +165,7 @@
         table: Table,
         update: TableUpdate,
     ) -> StoreStatus {
-        let (rows, whole, position) = match update {
+        let (rows, list_version, position) = match update {
             TableUpdate::Loaded {
                 rows,
                 version,
@@ -185,7 +185,7 @@
         };
         self.last_heard_at = now;
         let status = self.mark_regained(now, table);
-        self.apply_rows(now, table, &rows, whole);
+        self.apply_rows(now, table, &rows, list_version);
         self.table_state(table).advance_position(position);
         status
     }
@@ -222,10 +222,10 @@
         self.peers.address(&leader.instance)
     }
 
-    /// Applies rows of a table. `whole` is the version of the store if `rows` are all rows
+    /// Applies rows of a table. `list_version` is the version of the store if `rows` are all rows
     /// of the table.
-    fn apply_rows(&mut self, now: Mono, table: Table, rows: &[Row], whole: Option<Version>) {
-        if rows.is_empty() && whole.is_none() {
+    fn apply_rows(&mut self, now: Mono, table: Table, rows: &[Row], list_version: Option<Version>) {
+        if rows.is_empty() && list_version.is_none() {
             return;
         }
         // Only sequenced rows show a gap: in large fleets rows of instances are not
@@ -235,7 +235,7 @@
         let state = self.table_state(table);
         state.observe_version(newest);
         let is_first = !std::mem::replace(&mut state.loaded, true);
-        match whole {
+        match list_version {
             Some(version) => self.kept.replace(table, rows, version),
             None => self.kept.keep(table, rows),
         }
@@ -243,9 +243,9 @@
             Table::Config => {
                 self.apply_config_rows(rows);
                 let learned_at = (!is_first).then_some(now);
-                self.apply_evacuation_rows(now, learned_at, rows, whole);
+                self.apply_evacuation_rows(now, learned_at, rows, list_version);
             }
-            Table::Endpoints => self.apply_endpoint_rows(now, rows, whole),
+            Table::Endpoints => self.apply_endpoint_rows(now, rows, list_version),
             Table::Own => self.apply_own_rows(now, rows),
         }
         self.changed = true;
--- a/crates/citronway/src/gateway/control/copies.rs
+++ b/crates/citronway/src/gateway/control/copies.rs
@@ -127,7 +127,7 @@
         let position = &self.poll_control(table).position;
         position.fetch_max(copy.position.0, Ordering::Relaxed);
         if table == Table::Own {
-            self.leadership.take_relayed_rows(&self.cluster);
+            self.leadership.apply_relayed_rows(&self.cluster);
         }
     }
 
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -177,7 +177,7 @@
 
     /// Takes rows that another instance relayed. They do not confirm this instance as the
     /// leader.
-    pub(super) fn take_relayed_rows(&mut self, cluster: &Cluster) {
+    pub(super) fn apply_relayed_rows(&mut self, cluster: &Cluster) {
         self.update_assignments(cluster);
         let Some(row) = &cluster.leader else { return };
         self.observe_term(row.term);
@@ -196,19 +196,19 @@
     }
 
     /// Takes the rows of `cluster` after the store answered a poll that was sent at
-    /// `sent_at`; `whole` if the answer had all rows of the table. Returns true if all rows
+    /// `sent_at`; `is_full` if the answer had all rows of the table. Returns true if all rows
     /// must be read from the store before this instance may lead, since it knows them from
     /// relays only.
     ///
     /// Failure: a relayed row is lost, and the next leader starts from an assignment that
     /// the store no longer has. It renews holds of an endpoint whose keys have another
     /// owner.
-    pub(super) fn take_store_rows(
+    pub(super) fn apply_store_rows(
         &mut self,
         now: Mono,
         sent_at: Mono,
         cluster: &Cluster,
-        whole: bool,
+        is_full: bool,
     ) -> bool {
         self.update_assignments(cluster);
         let Some(row) = &cluster.leader else {
@@ -235,7 +235,7 @@
                 leader.confirm(sent_at);
             }
         } else if row.term == self.term {
-            if !whole && cluster.peers.has_totals() {
+            if !is_full && cluster.peers.has_totals() {
                 return true;
             }
             self.become_leader(now, sent_at, row, cluster);
--- a/crates/citronway/src/gateway/control/entries.rs
+++ b/crates/citronway/src/gateway/control/entries.rs
@@ -22,9 +22,14 @@
 }
 
 impl Cluster {
-    /// Applies entries; `whole` is the version of the store if `rows` are all entries.
-    pub(super) fn apply_endpoint_rows(&mut self, now: Mono, rows: &[Row], whole: Option<Version>) {
-        if let Some(version) = whole {
+    /// Applies entries; `list_version` is the version of the store if `rows` are all entries.
+    pub(super) fn apply_endpoint_rows(
+        &mut self,
+        now: Mono,
+        rows: &[Row],
+        list_version: Option<Version>,
+    ) {
+        if let Some(version) = list_version {
             self.remove_unlisted(now, rows, version);
         }
         for row in rows {
@@ -38,14 +43,14 @@
             let state = self.read_entry(row);
             // Load: at a start, each of 300 instances logged 3,000 lines, on a tenth of a
             // core.
-            let level = if whole.is_some() {
+            let level = if list_version.is_some() {
                 log::Level::Debug
             } else {
                 log::Level::Info
             };
             self.apply_entry(now, &row.key, state, level);
         }
-        if let Some(version) = whole {
+        if let Some(version) = list_version {
             let endpoints = self.registry.iter().count();
             log::info!(endpoints, version = version.0; "all endpoint entries read");
         }
--- a/crates/citronway/src/gateway/control/first.rs
+++ b/crates/citronway/src/gateway/control/first.rs
@@ -66,8 +66,8 @@
     /// second. The last writes were refused and tried again, and claims of leadership
     /// waited behind them. After a restart the row is already there.
     pub(super) fn register(&mut self, events: &mpsc::Sender<Event>) {
-        let knows = self.cluster.own_loaded() || self.awaits_copies();
-        if self.registration != Registration::NotStarted || !knows {
+        let can_register = self.cluster.own_loaded() || self.awaits_copies();
+        if self.registration != Registration::NotStarted || !can_register {
             return;
         }
         self.registration = Registration::Pending;
--- a/crates/citronway/src/gateway/control/following.rs
+++ b/crates/citronway/src/gateway/control/following.rs
@@ -37,13 +37,13 @@
             if *table == Table::Endpoints {
                 control.batch_ms.store(ENTRIES_BATCH_MS, Ordering::Relaxed);
             }
-            let follower = TablePoller {
+            let poller = TablePoller {
                 table: *table,
                 address: self.cfg.store,
                 events: events.clone(),
                 control: Arc::clone(control),
             };
-            tokio::spawn(follower.run());
+            tokio::spawn(poller.run());
         }
     }
 
--- a/crates/citronway/src/gateway/control/hearing.rs
+++ b/crates/citronway/src/gateway/control/hearing.rs
@@ -33,7 +33,7 @@
         let table = relay.table;
         self.cluster.apply_relay(now, relay);
         if table == Table::Own {
-            self.leadership.take_relayed_rows(&self.cluster);
+            self.leadership.apply_relayed_rows(&self.cluster);
         }
     }
 
--- a/crates/citronway/src/gateway/control/mod.rs
+++ b/crates/citronway/src/gateway/control/mod.rs
@@ -266,8 +266,8 @@
             self.register(&events_tx);
         }
         let mut buf = vec![0; datagram::MAX_DATAGRAM];
-        let mut due = Instant::now();
-        let mut not_before = due;
+        let mut next_run = Instant::now();
+        let mut not_before = next_run;
         loop {
             tokio::select! {
                 seen = self.seen.recv() => match seen {
@@ -282,18 +282,18 @@
                 }
                 _ = self.signals.terminate.recv() => self.stop(),
                 _ = self.signals.hang_up.recv() => self.reload(),
-                () = sleep_until(due) => {}
+                () = sleep_until(next_run) => {}
             }
             let now = Instant::now();
             if now < not_before {
-                due = not_before;
+                next_run = not_before;
                 continue;
             }
             self.run_due(&events_tx);
             self.step_trials(&socket);
             let ranges = self.cluster.ranges() / RANGES_PER_MS;
             not_before = now + Duration::from_millis(ranges as u64);
-            due = now + self.tick_period();
+            next_run = now + self.tick_period();
         }
     }
 
@@ -318,7 +318,7 @@
             } => {
                 self.metrics
                     .polled(table, matches!(update, TableUpdate::Lost(_)));
-                let whole = matches!(update, TableUpdate::Loaded { .. });
+                let is_full = matches!(update, TableUpdate::Loaded { .. });
                 match &update {
                     TableUpdate::Changed { relay, .. } => self.relay_rows(now, socket, relay),
                     TableUpdate::Loaded { rows, version, .. } if self.leadership.is_leader() => {
@@ -333,7 +333,7 @@
                 if table == Table::Own {
                     if self
                         .leadership
-                        .take_store_rows(now, sent_at, &self.cluster, whole)
+                        .apply_store_rows(now, sent_at, &self.cluster, is_full)
                     {
                         self.reload_own_rows();
                     }
@@ -455,7 +455,7 @@
             Err(e) => log::error!(cause = e.to_string(); "settings not reloaded"),
         }
         let up_ms = clock::mono().since(self.started);
-        log::info!(up_ms; "reload finished");
+        log::info!(up_ms; "reload done");
     }
 }
 
--- a/crates/citronway/src/gateway/control/reporting.rs
+++ b/crates/citronway/src/gateway/control/reporting.rs
@@ -141,10 +141,10 @@
         let candidates = self.cluster.peers.candidates();
         let branches = self.tree.plan(now, &candidates);
         let mut totals = self.build_totals(now);
-        let bare = datagram::encode(&Datagram::Totals(totals.clone()));
+        let without_members = datagram::encode(&Datagram::Totals(totals.clone()));
         for branch in &branches {
             if branch.members.is_empty() {
-                self.send(socket, &bare, branch.to);
+                self.send(socket, &without_members, branch.to);
                 continue;
             }
             totals.members.clone_from(&branch.members);
--- a/crates/citronway/src/gateway/control/trials.rs
+++ b/crates/citronway/src/gateway/control/trials.rs
@@ -174,9 +174,9 @@
 
     fn grant_without_leader(&mut self, now: Mono, work: Fingerprint) -> TrialGrant {
         let known = self.cluster.crashes.known();
-        let heard = known.suspects.get(&work).copied().unwrap_or(now);
+        let suspected_at = known.suspects.get(&work).copied().unwrap_or(now);
         let place = self.place_among_peers(work);
-        let may_send = self.trials.is_leaderless(now) && may_try_alone(now, heard, place);
+        let may_send = self.trials.is_leaderless(now) && may_try_alone(now, suspected_at, place);
         log::info!(work:%, may_send; "no leader answers a trial request");
         if may_send {
             TrialGrant::Granted
@@ -273,11 +273,11 @@
             // request.
             self.trials.granted_in(now, self.leadership.term());
         }
-        let late = |pending: &PendingRequest| now.since(pending.since) >= REPLY_TIMEOUT_MS;
+        let timed_out = |pending: &PendingRequest| now.since(pending.since) >= REPLY_TIMEOUT_MS;
         let unanswered: Vec<_> = self
             .trials
             .pending
-            .extract_if(.., |_, pending| late(pending))
+            .extract_if(.., |_, pending| timed_out(pending))
             .collect();
         for (_, pending) in unanswered {
             let grant = self.grant_without_leader(now, pending.req.work);
@@ -286,14 +286,14 @@
         let Some(leader) = self.cluster.leader_address() else {
             return;
         };
-        let mut again = Vec::new();
+        let mut resend = Vec::new();
         for pending in self.trials.pending.values_mut() {
             if now.since(pending.sent) >= RESEND_MS {
                 pending.sent = now;
-                again.push(pending.req);
+                resend.push(pending.req);
             }
         }
-        for req in again {
+        for req in resend {
             self.send_trial(socket, &Datagram::TrialRequest(req), leader);
         }
     }
