--- a/crates/citronway/src/gateway/control/cluster/mod.rs
+++ b/crates/citronway/src/gateway/control/cluster/mod.rs
@@ -294,7 +294,7 @@
             {
                 Ok(checked) => checked,
                 Err(e) => {
-                    log::error!(cause = e.to_string(); "configuration cannot be decoded; the previous one stays in force");
+                    log::error!(cause = e.to_string(); "configuration cannot be decoded");
                     self.unusable.count(Source::Configuration, 1);
                     continue;
                 }
--- a/crates/citronway/tests/gateway_copies.rs
+++ b/crates/citronway/tests/gateway_copies.rs
@@ -1,10 +1,10 @@
-//! Instances that cannot ask the store and get its rows from one that has them.
+//! Instances that can't read the store get its rows from another instance.
 //!
-//! Story: the store turns a third of the instances away for nine seconds. One of them is
-//! restarted meanwhile: it knows no routes, answers 503 to everybody and is not ready until
-//! the store is back, though all its neighbours have what it needs. Others missed a row when
-//! the leader changed, could not ask for it, and sent one request in ten to endpoints that no
-//! longer held its key, until no second send was left.
+//! Failure guarded against: the store refuses a third of the instances for nine seconds.
+//! One of them restarts meanwhile. It knows no routes, answers 503 to all callers and is
+//! not ready until the store is back, though all other instances have the rows that it
+//! needs. Others miss a row when the leader changes and can't read it. They send one
+//! request in ten to endpoints that no longer hold its key, until no second send is left.
 
 mod gateway_support;
 
@@ -15,10 +15,11 @@
 use googletest::prelude::*;
 use serde_json::json;
 
-/// Key of the second half of the key space.
+/// A key in the second half of the key space.
 const KEY: u16 = 65_000;
 
-/// A second instance that was killed and starts again while its link to the store is silent.
+/// A second instance that was killed and starts again while its link to the store is
+/// silent.
 fn started_without_the_store(deployment: &Deployment) -> (Proxy, Instance) {
     let link = Proxy::start(deployment.store.address()).expect("a link");
     let mut second = deployment.instance_behind("two", link.address);
@@ -31,12 +32,12 @@
 }
 
 #[gtest]
-fn an_instance_that_starts_without_the_store_serves_by_its_neighbours_rows() {
+fn an_instance_that_starts_without_the_store_serves_by_copied_rows() {
     let deployment = Deployment::new();
     let first = deployment.ready_instance("one");
     let (_link, second) = started_without_the_store(&deployment);
     expect_that!(second.call("GET /look/1", "k", KEY, "").status, eq(200));
-    // What changes meanwhile reaches it too.
+    // A later change of the configuration reaches it too.
     deployment.configure(5, &json!([route("new", "/new/", "idempotent", "console")]));
     until("the new route serves", || {
         let reply = second.call_with("GET /new/1", "X-Request-Id: n\r\n", "");
@@ -45,10 +46,10 @@
     expect_that!(first.is_ready(), eq(true));
 }
 
-/// A copy is what one neighbour knew at one moment. Once the store answers, its rows are
-/// asked for again, and what the copy lacked comes into force.
+/// A copy is as old as the instance that sent it was at that moment. Once the store
+/// answers, its rows are read again, and changes that the copy lacked come into force.
 #[gtest]
-fn a_copy_does_not_outlast_the_store() {
+fn rows_of_the_store_replace_a_copy() {
     let deployment = Deployment::new();
     let mut first = deployment.ready_instance("one");
     let (link, second) = started_without_the_store(&deployment);
--- a/crates/citronway/tests/gateway_evacuation.rs
+++ b/crates/citronway/tests/gateway_evacuation.rs
@@ -1,4 +1,5 @@
-//! An availability zone is evacuated and taken back while callers go on.
+//! An availability zone is evacuated, and the evacuation withdrawn, while callers send
+//! requests.
 
 mod gateway_support;
 
@@ -52,21 +53,22 @@
             .put("op", &format!("evacuate/{zone}"), &json!({}));
     }
 
-    fn take_back(&self, zone: &str) {
+    fn withdraw_evacuation(&self, zone: &str) {
         self.deployment
             .store
             .remove("op", &format!("evacuate/{zone}"));
     }
 
-    /// Requests that reached zone `a`, since a moment.
-    fn in_a(&self, since: Instant) -> usize {
+    /// Number of requests that ran in zone `a` after a moment.
+    fn runs_in_a(&self, since: Instant) -> usize {
         let endpoints = [&self.deployment.a, &self.deployment.c];
         let ran = endpoints.iter().flat_map(|endpoint| endpoint.ran());
         ran.filter(|ran| ran.at > since).count()
     }
 }
 
-/// Sends requests of both services to all instances until a moment; how many were served.
+/// Sends requests of both services to all instances until a moment; returns how many were
+/// served.
 fn call_until(instances: &[Instance], what: &str, end: Instant) -> usize {
     let mut served = 0;
     for round in 0.. {
@@ -87,7 +89,7 @@
     served
 }
 
-fn serves_all(instance: &Instance, what: &str) {
+fn wait_until_all_served(instance: &Instance, what: &str) {
     for key in KEYS {
         until("the key is served", || {
             let id = format!("{what}-{key}");
@@ -96,29 +98,29 @@
     }
 }
 
-/// Guards against requests and keys that stay in a zone which is evacuated.
+/// Guards against requests and keys that stay in an evacuated zone.
 #[gtest]
 fn nothing_reaches_a_zone_that_is_evacuated_and_all_keys_are_served() {
     let zones = Zones::start();
     let mut instances: Vec<_> = ["one", "two"]
         .map(|name| zones.deployment.ready_instance(name))
         .into();
-    serves_all(&instances[0], "before");
+    wait_until_all_served(&instances[0], "before");
     zones.evacuate("a");
     let evacuated = Instant::now();
     call_until(&instances, "during", evacuated + ALLOWED);
     let after = Instant::now();
-    // One that starts meanwhile sends nothing there either.
+    // An instance that starts during the evacuation sends nothing there either.
     instances.push(zones.deployment.ready_instance("three"));
     let served = call_until(&instances, "after", after + Duration::from_secs(2));
     expect_that!(served, gt(50));
-    expect_that!(zones.in_a(evacuated + ALLOWED), eq(0));
-    serves_all(&instances[2], "all");
+    expect_that!(zones.runs_in_a(evacuated + ALLOWED), eq(0));
+    wait_until_all_served(&instances[2], "all");
     let metrics = instances[0].metrics();
     expect_that!(metrics, contains_substring("citronway_evacuated_zones 1"));
     expect_that!(metrics, contains_substring("citronway_evacuated_ranges 0"));
 
-    zones.take_back("a");
+    zones.withdraw_evacuation("a");
     let back = Instant::now();
     until("the zone is used again", || {
         call_until(
@@ -126,18 +128,18 @@
             "back",
             Instant::now() + Duration::from_millis(200),
         );
-        zones.in_a(back) > 0
+        zones.runs_in_a(back) > 0
     });
 }
 
-/// Guards against a row that cannot be read and changes what is known of a zone.
+/// Guards against a malformed row that changes the known state of a zone.
 #[gtest]
 fn a_row_that_cannot_be_read_changes_nothing() {
     let zones = Zones::start();
     let mut instance = zones.deployment.instance_with_piped_logs("one");
     let logs = instance.logs();
     until("the instance is ready", || instance.is_ready());
-    serves_all(&instance, "before");
+    wait_until_all_served(&instance, "before");
     zones.evacuate("a");
     expect_that!(logs.line("zone evacuated")["zone"], eq(&json!("a")));
     zones.deployment.store.put("op", "evacuate/a", &json!(7));
@@ -145,5 +147,5 @@
     logs.line("row cannot be used");
     let metrics = instance.metrics();
     expect_that!(metrics, contains_substring("citronway_evacuated_zones 1"));
-    serves_all(&instance, "after");
+    wait_until_all_served(&instance, "after");
 }
--- a/crates/citronway/tests/gateway_leader_row.rs
+++ b/crates/citronway/tests/gateway_leader_row.rs
@@ -7,14 +7,14 @@
 use gateway_support::{Deployment, Logs, until};
 use googletest::prelude::*;
 
-/// Instances that start at the same time, and how often they do.
+/// Number of instances that start at the same time, and of rounds.
 const INSTANCES: usize = 5;
 const ROUNDS: usize = 6;
 
-/// How much later than those before it the earlier leader starts.
+/// Delay of the earlier leader's start after the others.
 const LEADER_LATER: Duration = Duration::from_millis(250);
 
-/// Highest term of a leader whose row an instance has seen.
+/// Highest term of a leader's row that an instance has logged; 0 if there is none.
 fn known_term(logs: &Logs) -> u64 {
     let lines = logs.all();
     let terms = lines.iter().filter(|line| line["message"] == "leader");
@@ -22,7 +22,8 @@
     terms.max().unwrap_or_default()
 }
 
-/// Guards against an instance that misses the row of a new leader and goes without one for good.
+/// Guards against an instance that misses the row of a new leader and has no leader from
+/// then on.
 #[gtest]
 fn all_instances_that_start_together_learn_of_the_leader() {
     let deployment = Deployment::new();
@@ -38,7 +39,7 @@
         for instance in &mut instances {
             instance.kill();
         }
-        // Another one leads next, and knows that the leader before has ended.
+        // Another instance leads next, and knows that the earlier leader has ended.
         instances.sort_by_key(|instance| instance.name() == leader);
         for instance in &mut instances {
             if instance.name() == leader {
--- a/crates/citronway/tests/gateway_leaving.rs
+++ b/crates/citronway/tests/gateway_leaving.rs
@@ -1,4 +1,4 @@
-//! What callers that leave an instance leave behind.
+//! Slots of endpoints after callers leave.
 
 mod gateway_support;
 
@@ -9,10 +9,11 @@
 use gateway_support::{Deployment, Instance, head, until};
 use googletest::prelude::*;
 
-/// Requests at once: more than the instance may have at the endpoint, which has 6 slots.
-const MANY: usize = 30;
+/// Number of concurrent requests: more than the instance may have at the endpoint, which
+/// has 6 slots.
+const REQUESTS: usize = 30;
 
-/// Work that outlasts the test.
+/// Service time that is longer than the test.
 const ENDLESS: Duration = Duration::from_mins(1);
 
 /// Sends a request and reads nothing.
@@ -25,37 +26,39 @@
 }
 
 /// Whether the metrics have a gauge at a value.
-fn shows(instance: &Instance, gauge: &str, value: usize) -> bool {
+fn has_gauge(instance: &Instance, gauge: &str, value: usize) -> bool {
     let line = format!("{gauge} {value}");
     instance.metrics().lines().any(|found| found == line)
 }
 
-/// A balancer in front resets all connections at once. Requests at an endpoint end, and their
-/// places are given to requests that wait, whose callers have left at the same moment; nobody
-/// is there to take the place or to give it back. The endpoint was idle from then on, and the
-/// instance refused each request for it as overloaded until it was started again.
+/// Failure guarded against: a load balancer resets all connections at once. Requests at an
+/// endpoint end, and their slots go to waiting requests whose callers leave at the same
+/// moment, so that nobody uses or returns them. The endpoint is idle from then on, and the
+/// instance refuses each request for it as overloaded until it is restarted.
 #[gtest]
 fn places_given_to_callers_that_leave_at_the_same_moment_are_free_again() {
     let deployment = Deployment::new();
     deployment.c.work(ENDLESS);
     let instance = deployment.ready_instance("one");
-    let callers: Vec<_> = (0..MANY).map(|id| send(&instance, id)).collect();
+    let callers: Vec<_> = (0..REQUESTS).map(|id| send(&instance, id)).collect();
     let mut at_endpoint = 0;
     until("the endpoint has what it may, the rest waits", || {
         at_endpoint = deployment.c.ran().len();
-        at_endpoint > 0 && shows(&instance, "citronway_waiting", MANY - at_endpoint)
+        at_endpoint > 0 && has_gauge(&instance, "citronway_waiting", REQUESTS - at_endpoint)
     });
-    // Paused, the instance learns of all of them at once.
+    // After the pause, the instance sees all callers leave at once.
     instance.pause();
     for caller in callers {
         caller.shutdown(Shutdown::Both).expect("it leaves");
     }
     instance.resume();
-    until("nobody waits", || shows(&instance, "citronway_waiting", 0));
+    until("nobody waits", || {
+        has_gauge(&instance, "citronway_waiting", 0)
+    });
     deployment.c.work(Duration::from_millis(1));
     let reply = instance.call("POST /order/1", "later", 0, "");
     expect_that!(reply.status, eq(200));
     until("all places are free", || {
-        shows(&instance, "citronway_in_flight", 0)
+        has_gauge(&instance, "citronway_in_flight", 0)
     });
 }
--- a/crates/citronway/tests/gateway_renewals.rs
+++ b/crates/citronway/tests/gateway_renewals.rs
@@ -1,4 +1,4 @@
-//! Renewals of a leader that the store does not confirm.
+//! Renewals of holds by a leader that the store does not confirm.
 
 mod gateway_support;
 
@@ -11,13 +11,14 @@
 /// One key of each half of the key space.
 const KEYS: [u16; 2] = [3, 65_000];
 
-/// Age of a confirmation from which on no new connection carries a grant, and some more.
+/// Age of the last confirmation from which on no new connection carries a grant, and a
+/// margin.
 const UNCONFIRMED: Duration = Duration::from_millis(2_500);
 
 /// Time in which several renewals are due.
 const RENEWALS: Duration = Duration::from_millis(2_500);
 
-fn starts_again(deployment: &mut Deployment) {
+fn restart_endpoint(deployment: &mut Deployment) {
     deployment.a.crash();
     until("the endpoint starts again", || {
         let Ok(again) = deployment.a.start_again() else {
@@ -28,7 +29,8 @@
     });
 }
 
-/// Guards against a renewal by an old row at a start that forgot the fence of a later leader.
+/// Guards against a renewal by an outdated row: an endpoint that restarts has forgotten the
+/// fence of a later leader and would accept it.
 #[gtest]
 fn an_unconfirmed_leader_renews_nothing_at_a_new_start() {
     let mut deployment = Deployment::new();
@@ -39,7 +41,7 @@
     until("all keys are held", || {
         KEYS.into_iter().all(|key| held(&deployment, key))
     });
-    let [own, other] = if deployment.a.holds(KEYS[0]) {
+    let [key_of_a, key_of_b] = if deployment.a.holds(KEYS[0]) {
         KEYS
     } else {
         [KEYS[1], KEYS[0]]
@@ -47,17 +49,19 @@
 
     link.set(Mode::Silent);
     std::thread::sleep(UNCONFIRMED);
-    starts_again(&mut deployment);
+    restart_endpoint(&mut deployment);
     let end = Instant::now() + RENEWALS;
     let mut renewed = false;
     while Instant::now() < end {
-        renewed |= deployment.a.holds(own);
+        renewed |= deployment.a.holds(key_of_a);
         std::thread::sleep(Duration::from_millis(20));
     }
     expect_that!(renewed, eq(false));
-    // Where nothing has ended the connections carry renewals on.
-    expect_that!(deployment.b.holds(other), eq(true));
+    // An endpoint that did not restart is still renewed over its existing connections.
+    expect_that!(deployment.b.holds(key_of_b), eq(true));
 
     link.set(Mode::Pass);
-    until("the new start holds keys again", || deployment.a.holds(own));
+    until("the new start holds keys again", || {
+        deployment.a.holds(key_of_a)
+    });
 }
--- a/crates/citronway/tests/gateway_sight.rs
+++ b/crates/citronway/tests/gateway_sight.rs
@@ -1,8 +1,8 @@
-//! What logs and metrics tell of requests without an answer, and of a stop.
+//! Logs and metrics about unanswered requests and about a stop.
 //!
-//! Story: instances that were told to stop ended with requests unanswered. The engineers
-//! on call had the logs and the metrics and could not tell where the requests stood, for
-//! how long, or how far the instances had come in stopping.
+//! Failure guarded against: instances that were asked to stop end with unanswered requests.
+//! Logs and metrics do not show at which stage the requests are, for how long, or how far
+//! the stop has come.
 
 mod gateway_support;
 
@@ -16,19 +16,19 @@
 use googletest::prelude::*;
 use serde_json::json;
 
-/// Time that callers state to wait, in milliseconds: longer than an instance takes to stop.
-const LONG_MS: u64 = 12_000;
+/// Timeout that callers state, in milliseconds: longer than an instance takes to stop.
+const TIMEOUT_MS: u64 = 12_000;
 
-/// An instance with an endpoint for `console` that takes connections and reads nothing.
-struct Stuck {
-    // Each ends when it is dropped.
+/// An instance with an endpoint for `console` that accepts connections and reads nothing.
+struct Stalled {
+    // The parts of the deployment end when this is dropped.
     _deployment: Deployment,
     mute: SilentEndpoint,
     instance: Instance,
     logs: Logs,
 }
 
-impl Stuck {
+impl Stalled {
     fn start() -> Self {
         let (deployment, mute) = silent_deployment();
         let mut instance = deployment.instance_with_piped_logs("one");
@@ -43,7 +43,7 @@
     }
 
     /// Waits until the metrics have a line.
-    fn shows(&self, line: &str) {
+    fn wait_for_metric(&self, line: &str) {
         until(line, || self.instance.metrics().contains(line));
     }
 }
@@ -52,68 +52,70 @@
 fn send(address: SocketAddr, start: &str, id: &str, body: &str, length: usize) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("a connection");
     let id = format!("X-Request-Id: {id}\r\n");
-    let head = head(start, &id, LONG_MS, length);
+    let head = head(start, &id, TIMEOUT_MS, length);
     stream.write_all(head.as_bytes()).expect("a head is sent");
     stream.write_all(body.as_bytes()).expect("a body is sent");
     stream
 }
 
-/// Callers report silence; the metrics said how many requests waited for a place, and
-/// nothing of those that were being read or stood elsewhere, or of callers' connections.
+/// Failure guarded against: callers get no answer, and the metrics count only requests that
+/// wait for a slot. They show neither requests at other stages, such as those being read,
+/// nor callers' connections.
 #[gtest]
 fn metrics_show_where_unanswered_requests_stand() {
-    let stuck = Stuck::start();
-    let callers = stuck.instance.callers;
+    let stalled = Stalled::start();
+    let callers = stalled.instance.callers;
     let _reading = send(callers, "POST /patient/1", "r", "half", 8);
-    stuck.shows("citronway_unanswered{stage=\"reading\"} 1\n");
+    stalled.wait_for_metric("citronway_unanswered{stage=\"reading\"} 1\n");
     let _sent = send(callers, "POST /patient/2", "s", "x", 1);
-    stuck.shows("citronway_unanswered{stage=\"at_endpoint\"} 1\n");
-    stuck.shows("citronway_connections 2\n");
+    stalled.wait_for_metric("citronway_unanswered{stage=\"at_endpoint\"} 1\n");
+    stalled.wait_for_metric("citronway_connections 2\n");
     for stage in ["waiting", "connecting", "answering"] {
-        stuck.shows(&format!("citronway_unanswered{{stage=\"{stage}\"}} 0\n"));
+        stalled.wait_for_metric(&format!("citronway_unanswered{{stage=\"{stage}\"}} 0\n"));
     }
 }
 
-/// A caller says that it gave up. Its request has no last line, so that nobody can tell
-/// whether it was lost here or the caller left.
+/// Failure guarded against: a caller leaves, and no line ends its request. The logs do not
+/// show whether the request was lost here or the caller left.
 #[gtest]
 fn a_caller_that_leaves_has_a_line_and_is_counted() {
-    let stuck = Stuck::start();
-    let caller = send(stuck.instance.callers, "POST /patient/1", "g", "x", 1);
-    stuck.shows("citronway_unanswered{stage=\"at_endpoint\"} 1\n");
+    let stalled = Stalled::start();
+    let caller = send(stalled.instance.callers, "POST /patient/1", "g", "x", 1);
+    stalled.wait_for_metric("citronway_unanswered{stage=\"at_endpoint\"} 1\n");
     caller.shutdown(Shutdown::Both).expect("the caller leaves");
-    let line = stuck.logs.line("caller left before its answer");
+    let line = stalled.logs.line("caller left before its answer");
     expect_that!(line["request"], eq(&json!("g")));
     expect_that!(line["stage"], eq(&json!("at_endpoint")));
     expect_that!(line["endpoint"].as_str(), some(starts_with("i-mute")));
     expect_that!(line["stage_ms"].as_u64(), some(anything()));
-    stuck.shows("citronway_callers_left_total{stage=\"at_endpoint\"} 1\n");
-    stuck.shows("citronway_unanswered{stage=\"at_endpoint\"} 0\n");
+    stalled.wait_for_metric("citronway_callers_left_total{stage=\"at_endpoint\"} 1\n");
+    stalled.wait_for_metric("citronway_unanswered{stage=\"at_endpoint\"} 0\n");
 }
 
-/// The log of an instance that stopped said when it was asked to and nothing more until its
-/// end; an answer that it gave itself read like one of an endpoint that broke off.
+/// Failure guarded against: the log of an instance that stops has no line between the
+/// signal and its end, and an answer that the instance gave itself looks like one of an
+/// endpoint that broke off.
 #[gtest]
 fn each_stage_of_a_stop_is_a_line_and_what_is_broken_off_has_its_endpoint() {
-    let mut stuck = Stuck::start();
-    let callers = stuck.instance.callers;
+    let mut stalled = Stalled::start();
+    let callers = stalled.instance.callers;
     let call = thread::spawn(move || {
-        let head = head("POST /patient/1", "X-Request-Id: e\r\n", LONG_MS, 1);
+        let head = head("POST /patient/1", "X-Request-Id: e\r\n", TIMEOUT_MS, 1);
         exchange(callers, &head, "x")
     });
     until("the endpoint has a connection", || {
-        stuck.mute.connections() > 0
+        stalled.mute.connections() > 0
     });
-    stuck.shows("citronway_unanswered{stage=\"at_endpoint\"} 1\n");
-    stuck.instance.terminate();
+    stalled.wait_for_metric("citronway_unanswered{stage=\"at_endpoint\"} 1\n");
+    stalled.instance.terminate();
     let reply = call.join().expect("the caller ends");
     expect_that!(reply.map(|reply| reply.status), some(eq(502)));
-    until("the process ends", || stuck.instance.ended() == Some(0));
-    stuck.logs.line("instance stops");
-    let lines = stuck.logs.all();
+    until("the process ends", || stalled.instance.ended() == Some(0));
+    stalled.logs.line("instance stops");
+    let lines = stalled.logs.all();
     let asked = lines.iter().position(|l| l["message"] == "asked to stop");
     let after = &lines[asked.expect("the signal is logged")..];
-    let told: Vec<_> = after.iter().filter_map(|l| l["message"].as_str()).collect();
+    let messages: Vec<_> = after.iter().filter_map(|l| l["message"].as_str()).collect();
     let stages = [
         "asked to stop",
         "idle connections are closed",
@@ -124,10 +126,13 @@
         "the last connections end",
         "instance stops",
     ];
-    let seen: Vec<_> = told.into_iter().filter(|m| stages.contains(m)).collect();
+    let seen: Vec<_> = messages
+        .into_iter()
+        .filter(|m| stages.contains(m))
+        .collect();
     expect_that!(seen, container_eq(stages));
 
-    let line = |message| stuck.logs.line(message);
+    let line = |message| stalled.logs.line(message);
     expect_that!(line("asked to stop")["grace_ms"], eq(&json!(6_000)));
     let ending = line("what has no answer gets one now");
     expect_that!(ending["at_endpoint"], eq(&json!(1)));
@@ -136,7 +141,8 @@
     expect_that!(broken["stage"], eq(&json!("at_endpoint")));
     expect_that!(broken["endpoint"].as_str(), some(starts_with("i-mute")));
     expect_that!(broken["fence"], eq(&json!(0)));
-    // It was there from before the signal to nine tenths of the grace after it.
+    // The request was there from before the signal until nine tenths of the grace had
+    // passed.
     expect_that!(broken["stage_ms"].as_u64(), some(ge(5_000)));
     expect_that!(line("may have run")["reason"], eq(&json!("stopped")));
     expect_that!(
@@ -147,24 +153,25 @@
     expect_that!(lines.iter().any(left), eq(false));
 }
 
-/// A caller sends a time that is none and asks why it gets a 400. Its answer had no id, its
-/// line neither, and the metrics did not count it.
+/// Failure guarded against: a caller sends a malformed time and gets a 400. Neither the
+/// answer nor the log line has the request's id, and the metrics do not count it.
 #[gtest]
 fn a_malformed_request_is_counted_and_keeps_its_id() {
-    let stuck = Stuck::start();
+    let stalled = Stalled::start();
     let names = "X-Request-Id: m\r\nX-Shard-Key: one\r\n";
-    let reply = stuck.instance.call_with("GET /look/1", names, "");
+    let reply = stalled.instance.call_with("GET /look/1", names, "");
     expect_that!(reply.status, eq(400));
     expect_that!(reply.header("x-request-id"), some(eq("m")));
-    let line = stuck.logs.line("a request is malformed");
+    let line = stalled.logs.line("a request is malformed");
     expect_that!(line["request"], eq(&json!("m")));
-    expect_that!(stuck.logs.line("rejected")["request"], eq(&json!("m")));
+    expect_that!(stalled.logs.line("rejected")["request"], eq(&json!("m")));
     let counted =
         r#"citronway_requests_total{repeat="unknown",rank="3",outcome="rejected",reason=""} 1"#;
-    expect_that!(stuck.instance.metrics(), contains_substring(counted));
+    expect_that!(stalled.instance.metrics(), contains_substring(counted));
 }
 
-/// An instance ends at once, again and again, and its logs end with its start.
+/// Failure guarded against: an instance ends at once after each start, and its logs do not
+/// say why.
 #[gtest]
 fn a_duty_that_cannot_start_is_in_the_logs_and_in_the_exit_code() {
     let deployment = Deployment::new();
