--- a/crates/citronway/src/gateway/control/cluster/copies.rs
+++ b/crates/citronway/src/gateway/control/cluster/copies.rs
@@ -79,7 +79,8 @@
     }
 
     /// Whether missed rows of a table must be read from the store: another instance was
-    /// asked for them a moment ago, and they are still missing.
+    /// asked for them a moment ago, and they are still missing. Otherwise this call counts
+    /// as such a request.
     pub(in super::super) fn needs_store_read(&mut self, now: Mono, table: Table) -> bool {
         let state = self.table_state(table);
         let requested_at = state.missed_requested_at.replace(now);
--- a/crates/citronway/src/gateway/control/own_rows.rs
+++ b/crates/citronway/src/gateway/control/own_rows.rs
@@ -166,8 +166,8 @@
         known.is_some_and(|known| known.version >= row.version)
     }
 
-    /// A relay of an assignment that was just written; `None` if a newer one is known or it
-    /// can't be encoded.
+    /// A relay of an assignment that was just written; `None` if this version or a newer
+    /// one is known, or if it can't be encoded.
     pub(super) fn relay_of_write(
         &self,
         service: &ServiceName,
@@ -211,7 +211,7 @@
     }
 
     /// Whether each row that a relay patches is known in the version that the patch starts
-    /// from, or a newer one than it leads to.
+    /// from, or in one that already includes the patch.
     pub(super) fn can_patch(&self, relay: &Relay) -> bool {
         relay.patches.iter().all(|patch| {
             let known = self.row_to_patch(patch).map(|known| known.version);
--- a/crates/citronway/src/gateway/control/store.rs
+++ b/crates/citronway/src/gateway/control/store.rs
@@ -38,8 +38,8 @@
 /// First and longest pause after a call that failed, in milliseconds.
 const RETRY_PAUSE_MS: (u64, u64) = (100, 1_000);
 
-/// Pause after a call that failed on an instance that another one tells when the store is
-/// back, in milliseconds.
+/// Pause after a failed call on a passive instance, which another instance tells when the
+/// store is back, in milliseconds.
 const PASSIVE_PAUSE_MS: u64 = 5_000;
 
 /// Pause from an answer to the next poll of the endpoints' entries, in milliseconds.
