--- a/crates/citronway/src/gateway/control/cluster/evacuations.rs
+++ b/crates/citronway/src/gateway/control/cluster/evacuations.rs
@@ -104,7 +104,7 @@
                 log::info!(zone, version, endpoints, just_now; "zone evacuated");
             }
             ZoneState::TakenBack => {
-                log::info!(zone, version, endpoints; "zone evacuation withdrawn")
+                log::info!(zone, version, endpoints; "zone restored")
             }
         }
     }
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -60,7 +60,7 @@
     leaders: IndexMap<ServiceName, Leader>,
     placer: Placer,
     /// The leader's row that names this instance; `None` while another instance leads.
-    leadership_row: Option<LeaderRow>,
+    own_row: Option<LeaderRow>,
     /// Highest term of any leader that is known.
     term: u64,
     confirmed_at: Mono,
@@ -86,7 +86,7 @@
             cfg: LeaderSettings::default(),
             leaders: IndexMap::new(),
             placer: Placer::default(),
-            leadership_row: None,
+            own_row: None,
             term: 0,
             confirmed_at: Mono::default(),
             claim_pending: false,
@@ -115,11 +115,7 @@
         // Failure: a leader that cannot reach the store does not see that it was replaced,
         // and grants keys at the same time as its successor. Any instance that knows the
         // successor's term makes it step down.
-        if self
-            .leadership_row
-            .as_ref()
-            .is_some_and(|row| row.term < term)
-        {
+        if self.own_row.as_ref().is_some_and(|row| row.term < term) {
             self.step_down("a leader of a later term is known");
         }
     }
@@ -134,7 +130,7 @@
         if cluster.store_lost() {
             return Some("the store does not answer");
         }
-        if self.leadership_row.is_some() && now.since(self.confirmed_at) > UNCONFIRMED_MS {
+        if self.own_row.is_some() && now.since(self.confirmed_at) > UNCONFIRMED_MS {
             return Some("the store has not confirmed the leader");
         }
         let cut_off = self.leaders.values().any(|leader| leader.is_cut_off(now));
@@ -155,13 +151,13 @@
 
     /// Whether this instance is the leader, as far as it knows.
     pub(super) const fn is_leader(&self) -> bool {
-        self.leadership_row.is_some()
+        self.own_row.is_some()
     }
 
     /// Part of all sends to cold endpoints that this leader may grant now, from 0 to 1;
     /// `None` if this instance does not lead or may grant none.
     pub(super) fn cold_part(&self, now: Mono) -> Option<f64> {
-        let row = self.leadership_row.as_ref()?;
+        let row = self.own_row.as_ref()?;
         let state = Office {
             contact: self.confirmed_at,
             rivals: self.rivals,
@@ -172,7 +168,7 @@
 
     /// Version of the leader's row by which this instance leads; `None` if it does not.
     pub(super) fn row_version(&self) -> Option<Version> {
-        self.leadership_row.as_ref().map(|row| row.version)
+        self.own_row.as_ref().map(|row| row.version)
     }
 
     /// Takes rows that another instance relayed. They do not confirm this instance as the
@@ -216,7 +212,7 @@
         };
         self.term = self.term.max(row.term);
         if row.instance != self.me.instance || row.session != self.me.id {
-            if self.leadership_row.is_some() {
+            if self.own_row.is_some() {
                 self.step_down("the row names another leader");
             }
             return false;
@@ -225,11 +221,11 @@
             return false;
         }
         if self
-            .leadership_row
+            .own_row
             .as_ref()
             .is_some_and(|own_row| own_row.term == row.term)
         {
-            self.leadership_row = Some(row.clone());
+            self.own_row = Some(row.clone());
             self.confirmed_at = self.confirmed_at.max(sent_at);
             for leader in self.leaders.values_mut() {
                 leader.confirm(sent_at);
@@ -246,7 +242,7 @@
     fn become_leader(&mut self, now: Mono, sent_at: Mono, row: &LeaderRow, cluster: &Cluster) {
         let former = row.former.len();
         log::info!(term = row.term, former; "this instance leads");
-        self.leadership_row = Some(row.clone());
+        self.own_row = Some(row.clone());
         self.confirmed_at = sent_at;
         self.rivals_stopped = false;
         self.placer.reset();
@@ -264,10 +260,7 @@
     /// What earlier leaders may still do, on the assumption that none is known to have
     /// stopped.
     fn rivals(&self, now: Mono, cluster: &Cluster) -> Rivals {
-        let former = self
-            .leadership_row
-            .as_ref()
-            .map_or(&[][..], |row| &row.former);
+        let former = self.own_row.as_ref().map_or(&[][..], |row| &row.former);
         let store_ms = cluster.store_ms(now);
         let claimed = self.first_claim.map_or(now, |(_, at)| at);
         let mut rivals = self.cfg.rivals(now);
@@ -280,7 +273,7 @@
 
     fn step_down(&mut self, cause: &'static str) {
         log::info!(cause; "this instance no longer leads");
-        self.leadership_row = None;
+        self.own_row = None;
         for leader in self.leaders.values_mut() {
             leader.end_term();
         }
@@ -314,7 +307,7 @@
 
     /// Adds the sampled keys of a report, which may be this instance's own.
     pub(super) fn record_traffic(&mut self, now: Mono, report: &Report) {
-        if self.leadership_row.is_some() {
+        if self.own_row.is_some() {
             self.placer.record_traffic(now, report);
         }
     }
@@ -329,7 +322,7 @@
             claim: claim.or_else(|| self.remove_former_leaders(now)),
             wait_ms: IDLE_WAIT_MS,
         };
-        let Some(own_row) = self.leadership_row.clone() else {
+        let Some(own_row) = self.own_row.clone() else {
             return due;
         };
         due.wait_ms = LEADER_WAIT_MS;
@@ -391,7 +384,7 @@
     /// the keys of a dead endpoint to another one.
     fn remove_former_leaders(&mut self, now: Mono) -> Option<Change> {
         let own_row = self
-            .leadership_row
+            .own_row
             .as_ref()
             .filter(|own_row| !own_row.former.is_empty())?;
         let free = self.rivals_stopped || now > self.rivals.hold_until;
@@ -441,7 +434,7 @@
     }
 
     fn claim(&mut self, now: Mono, cluster: &Cluster, stopping: bool) -> Option<Change> {
-        if self.claim_pending || now < self.claim_after || self.leadership_row.is_some() {
+        if self.claim_pending || now < self.claim_after || self.own_row.is_some() {
             return None;
         }
         let peers = cluster.peers.sights();
--- a/crates/citronway/src/gateway/control/reporting.rs
+++ b/crates/citronway/src/gateway/control/reporting.rs
@@ -20,9 +20,9 @@
 /// One observation of the traffic in this many is reported: by a delegate, by a member, and
 /// by an instance without a delegate. The leader splits hot ranges by these reports, and
 /// callers of those ranges queue until then.
-const DELEGATE_REPORT_EVERY: u64 = 1;
-const MEMBER_REPORT_EVERY: u64 = 2;
-const ALONE_REPORT_EVERY: u64 = 6;
+const DELEGATE_PERIOD: u64 = 1;
+const MEMBER_PERIOD: u64 = 2;
+const ALONE_PERIOD: u64 = 6;
 
 /// Rounds over which the estimates of all endpoints are sent: each endpoint's every second.
 const PACE_ROUNDS: u64 = 5;
@@ -46,14 +46,10 @@
             return;
         }
         match self.place.role(now) {
-            Role::Alone if !self.cluster.peers.is_large_fleet(now) => {
-                self.report_to_all(now, socket)
-            }
-            Role::Alone => self.report_to_parent(now, socket, ALONE_REPORT_EVERY, None),
-            Role::Member(to) => self.report_to_parent(now, socket, MEMBER_REPORT_EVERY, Some(to)),
-            Role::Delegate(to) => {
-                self.report_to_parent(now, socket, DELEGATE_REPORT_EVERY, Some(to))
-            }
+            Role::Alone if !self.cluster.peers.is_large_fleet(now) => self.broadcast(now, socket),
+            Role::Alone => self.report_to_parent(now, socket, ALONE_PERIOD, None),
+            Role::Member(to) => self.report_to_parent(now, socket, MEMBER_PERIOD, Some(to)),
+            Role::Delegate(to) => self.report_to_parent(now, socket, DELEGATE_PERIOD, Some(to)),
         }
     }
 
@@ -64,8 +60,8 @@
             && (peers.is_large_fleet(now) || peers.heard_count(now) >= MOST_TELL_ALL)
     }
 
-    /// Reports to all others, in a small fleet.
-    fn report_to_all(&mut self, now: Mono, socket: &UdpSocket) {
+    /// Sends a report to all others, in a small fleet.
+    fn broadcast(&mut self, now: Mono, socket: &UdpSocket) {
         let mut report = self.record_own_report(now);
         (report.first_sign, report.signs) = self.cluster.crashes.take_signs();
         let leader = self.cluster.leader_address();
