--- a/crates/citronway/src/gateway/control/cluster/copies.rs
+++ b/crates/citronway/src/gateway/control/cluster/copies.rs
@@ -67,7 +67,7 @@
     /// The store counts as lost until it answers this instance itself. Its answer then
     /// takes precedence, as a copy is only as new as the instance that sent it.
     pub(in super::super) fn apply_copy(&mut self, now: Mono, copy: &Relay) {
-        let (table, rows) = (copy.table.word(), copy.rows.len());
+        let (table, rows) = (copy.table.as_str(), copy.rows.len());
         log::info!(table, rows, position = copy.position.0; "table copied from another instance");
         let list_version = match copy.table {
             // A copy of all rows removes those that it lacks.
--- a/crates/citronway/src/gateway/control/cluster/evacuations.rs
+++ b/crates/citronway/src/gateway/control/cluster/evacuations.rs
@@ -62,7 +62,7 @@
     ) -> Option<ZoneState> {
         let Some(value) = &row.value else {
             self.unusable.clear(Source::Configuration, &row.key);
-            return Some(ZoneState::TakenBack);
+            return Some(ZoneState::Restored);
         };
         if let Err(e) = store::check_evacuation(zone, value) {
             self.unusable
@@ -103,7 +103,7 @@
                 let just_now = since.is_some();
                 log::info!(zone, version, endpoints, just_now; "zone evacuated");
             }
-            ZoneState::TakenBack => {
+            ZoneState::Restored => {
                 log::info!(zone, version, endpoints; "zone restored")
             }
         }
--- a/crates/citronway/src/gateway/control/cluster/load.rs
+++ b/crates/citronway/src/gateway/control/cluster/load.rs
@@ -98,9 +98,9 @@
         let registry = Arc::make_mut(&mut self.registry);
         match (totals.store_lost, same) {
             (true, _) => registry.store_lost(),
-            (false, true) => registry.store_back(now),
+            (false, true) => registry.store_regained(now),
             // The store answers the new leader: only the earlier one was cut off.
-            (false, false) => registry.store_went_on(),
+            (false, false) => registry.outage_was_local(),
         }
     }
 
--- a/crates/citronway/src/gateway/control/cluster/mod.rs
+++ b/crates/citronway/src/gateway/control/cluster/mod.rs
@@ -257,7 +257,7 @@
             return;
         }
         state.lost = true;
-        log::warn!(table = table.word(), cause; "store lost");
+        log::warn!(table = table.as_str(), cause; "store lost");
         if table == Table::Endpoints {
             Arc::make_mut(&mut self.registry).store_lost();
         }
@@ -272,8 +272,8 @@
         // Failure: this instance alone was cut off, and takes the entry of an endpoint that
         // left meanwhile for one that expired with the store. Others that saw newer rows
         // show that the store was up.
-        let store_went_on = self.outage.is_own();
-        log::info!(table = table.word(), store_went_on; "store regained");
+        let store_went_on = self.outage.is_local();
+        log::info!(table = table.as_str(), store_went_on; "store regained");
         if table == Table::Endpoints {
             let registry = Arc::make_mut(&mut self.registry);
             if store_went_on {
--- a/crates/citronway/src/gateway/control/cold.rs
+++ b/crates/citronway/src/gateway/control/cold.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ColdSendState {
     /// Sends of all instances, granted while this instance leads.
-    granted: ColdSends,
+    granted: ColdSendLimiter,
     /// Term in which `granted` were granted.
     term: u64,
     pending: IndexMap<u64, PendingRequest>,
@@ -47,13 +47,13 @@
 
 impl Control {
     /// Handles a request of the traffic thread for a send to a cold endpoint.
-    pub(super) fn on_cold_ask(&mut self, socket: &UdpSocket, ask: ColdAsk) {
+    pub(super) fn on_cold_ask(&mut self, socket: &UdpSocket, ask: ColdQuery) {
         let now = clock::mono();
         if self.leadership.is_leader() {
             let term = self.leadership.term();
             let part = self.leadership.cold_part(now);
             let granted = self.cold.granted_in(now, term);
-            let grant = granted.request_of(now, &ask.req, part);
+            let grant = granted.request_with_share(now, &ask.req, part);
             // The caller may have left.
             let _ = ask.reply.send(grant);
             return;
--- a/crates/citronway/src/gateway/control/crashes.rs
+++ b/crates/citronway/src/gateway/control/crashes.rs
@@ -51,7 +51,7 @@
     has_loaded: bool,
     /// The stored row is malformed.
     unreadable: bool,
-    known: Arc<Known>,
+    known: Arc<CrashSnapshot>,
     /// Changes for callers that are not logged yet.
     verdicts: Vec<Verdict>,
     /// Term of the last leader to which all signs were reported.
@@ -127,8 +127,8 @@
     /// Records signs that another instance reports; with `forwards`, this instance reports
     /// them on as a delegate.
     fn record_report(&mut self, now: Mono, report: &Report, forwards: bool) {
-        for sign in self.taken.fresh(report) {
-            self.verdicts.extend(self.ledger.take(now, *sign));
+        for sign in self.taken.new_signs(report) {
+            self.verdicts.extend(self.ledger.apply(now, *sign));
             if forwards {
                 self.outbox.push(*sign);
             }
@@ -150,7 +150,7 @@
 
     /// As the leader, records a crash that ended a trial.
     pub(super) fn record_crash(&mut self, now: Mono, sign: Sign) {
-        self.verdicts.extend(self.ledger.take(now, sign));
+        self.verdicts.extend(self.ledger.apply(now, sign));
         self.refresh();
     }
 
@@ -163,7 +163,7 @@
 
     /// Whether there are signs that were in no report yet.
     pub(super) fn has_unsent_signs(&self) -> bool {
-        self.outbox.has_news()
+        self.outbox.has_unsent()
     }
 
     /// Returns the signs for the next report, and the number of the first of them.
@@ -172,12 +172,12 @@
     }
 
     /// Harmful work and suspects, for the leader's totals.
-    pub(super) fn totals(&self, now: Mono) -> (Vec<Refused>, Vec<Fingerprint>) {
+    pub(super) fn totals(&self, now: Mono) -> (Vec<RefusedWork>, Vec<Fingerprint>) {
         (self.ledger.harmful(now), self.ledger.suspects(now))
     }
 
     /// Crashes as the traffic thread uses them.
-    pub(super) fn known(&self) -> Arc<Known> {
+    pub(super) fn known(&self) -> Arc<CrashSnapshot> {
         Arc::clone(&self.known)
     }
 
@@ -202,7 +202,7 @@
     /// signs and send copies of a suspect without a trial. The signs fit into one report,
     /// so that they do not delay new ones.
     pub(super) fn resend_newest_signs(&mut self) {
-        for sign in self.ledger.newest_signs(MOST_SIGNS) {
+        for sign in self.ledger.newest_signs(MAX_SIGNS_PER_REPORT) {
             self.outbox.push(sign);
         }
     }
@@ -278,7 +278,7 @@
         for verdict in crashes.verdicts.drain(..) {
             report_verdict(&self.metrics, &verdict);
         }
-        self.metrics.crash_suspects(crashes.ledger.len());
+        self.metrics.set_crash_suspects(crashes.ledger.len());
         // A change is published at once, as the traffic thread decides by it.
         let view = self.view.borrow();
         let is_new = !Arc::ptr_eq(&view.crashes, &crashes.known);
@@ -309,8 +309,8 @@
         crashes.writing = true;
         crashes.write_after = now.plus(WRITE_PAUSE_MS);
         crashes.outdated_since = None;
-        let change = Change {
-            unless_changed: vec![
+        let change = ConditionalWrite {
+            preconditions: vec![
                 (LEADER_KEY.to_owned(), leader_version),
                 (CRASHES_KEY.to_owned(), crashes.expected()),
             ],
@@ -339,6 +339,6 @@
 }
 
 fn report_verdict(metrics: &Metrics, verdict: &Verdict) {
-    metrics.judged(verdict);
+    metrics.count_verdict(verdict);
     observe::log_verdict(verdict);
 }
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -45,7 +45,7 @@
 pub(super) struct DueActions {
     pub orders: Vec<Order>,
     pub writes: Vec<AssignmentWrite>,
-    pub claim: Option<Change>,
+    pub claim: Option<ConditionalWrite>,
     /// Longest wait of a poll of the store for changes, in milliseconds.
     pub wait_ms: u64,
 }
@@ -71,7 +71,7 @@
     first_claim: Option<(Version, Mono)>,
     rivals_stopped: bool,
     /// What earlier leaders may still do, and until when.
-    rivals: Rivals,
+    rivals: PredecessorLimits,
     /// The cause of unfitness that was last logged; `None` if this instance was fit.
     logged_unfit_cause: Option<&'static str>,
 }
@@ -93,7 +93,7 @@
             claim_after: Mono::default(),
             first_claim: None,
             rivals_stopped: false,
-            rivals: Rivals::default(),
+            rivals: PredecessorLimits::default(),
             logged_unfit_cause: None,
         }
     }
@@ -158,12 +158,12 @@
     /// `None` if this instance does not lead or may grant none.
     pub(super) fn cold_part(&self, now: Mono) -> Option<f64> {
         let row = self.own_row.as_ref()?;
-        let state = Office {
-            contact: self.confirmed_at,
+        let state = LeaderStanding {
+            confirmed_at: self.confirmed_at,
             rivals: self.rivals,
             earlier_leaders: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
         };
-        cold::granted_part(now, &self.cfg, &state)
+        cold::granted_share(now, &self.cfg, &state)
     }
 
     /// Version of the leader's row by which this instance leads; `None` if it does not.
@@ -253,18 +253,18 @@
         }
         self.rivals = self.rivals(now, cluster);
         for leader in self.leaders.values_mut() {
-            leader.begin(sent_at, self.rivals);
+            leader.begin_term(sent_at, self.rivals);
         }
     }
 
     /// What earlier leaders may still do, on the assumption that none is known to have
     /// stopped.
-    fn rivals(&self, now: Mono, cluster: &Cluster) -> Rivals {
+    fn rivals(&self, now: Mono, cluster: &Cluster) -> PredecessorLimits {
         let former = self.own_row.as_ref().map_or(&[][..], |row| &row.former);
         let store_ms = cluster.store_ms(now);
         let claimed = self.first_claim.map_or(now, |(_, at)| at);
-        let mut rivals = self.cfg.rivals(now);
-        rivals.hold_until = election::holds_until(now, &self.cfg, former, store_ms, claimed);
+        let mut rivals = self.cfg.predecessor_limits(now);
+        rivals.hold_until = election::former_holds_until(now, &self.cfg, former, store_ms, claimed);
         if former.is_empty() {
             rivals.connect_until = now;
         }
@@ -330,7 +330,7 @@
         for service in cluster.sharded() {
             self.leaders.entry(service.clone()).or_insert_with(|| {
                 let mut leader = Leader::new(self.cfg, service);
-                leader.begin(self.confirmed_at, Rivals::default());
+                leader.begin_term(self.confirmed_at, PredecessorLimits::default());
                 leader
             });
         }
@@ -368,7 +368,7 @@
         };
         if own_row.former.iter().all(stopped) {
             self.rivals_stopped = true;
-            self.rivals = self.rivals.min(self.cfg.stopped_rivals(now));
+            self.rivals = self.rivals.min(self.cfg.stopped_predecessor_limits(now));
             log::info!(term = own_row.term; "earlier leaders have stopped");
             for leader in self.leaders.values_mut() {
                 leader.predecessor_stopped(now);
@@ -382,7 +382,7 @@
     /// Failure: an earlier leader is gone for good and never reports that it has stopped.
     /// If it stayed in the row, each later leader would wait for it again before it assigns
     /// the keys of a dead endpoint to another one.
-    fn remove_former_leaders(&mut self, now: Mono) -> Option<Change> {
+    fn remove_former_leaders(&mut self, now: Mono) -> Option<ConditionalWrite> {
         let own_row = self
             .own_row
             .as_ref()
@@ -397,8 +397,8 @@
             .ok()?;
         self.claim_pending = true;
         self.claim_after = now.plus(CLAIM_PAUSE_MS);
-        Some(Change {
-            unless_changed: vec![(own_rows::LEADER_KEY.to_owned(), own_row.version)],
+        Some(ConditionalWrite {
+            preconditions: vec![(own_rows::LEADER_KEY.to_owned(), own_row.version)],
             put: vec![(own_rows::LEADER_KEY.to_owned(), value)],
         })
     }
@@ -422,7 +422,7 @@
             peers,
             standbys: cluster.peers.standbys(),
             instances: cluster.peers.listed_count(),
-            many: cluster.peers.is_large_fleet(now) || cluster.peers.has_totals(),
+            is_large_fleet: cluster.peers.is_large_fleet(now) || cluster.peers.has_totals(),
         }
     }
 
@@ -433,7 +433,7 @@
         election::watches_store(now, &self.situation(now, false, cluster, &peers))
     }
 
-    fn claim(&mut self, now: Mono, cluster: &Cluster, stopping: bool) -> Option<Change> {
+    fn claim(&mut self, now: Mono, cluster: &Cluster, stopping: bool) -> Option<ConditionalWrite> {
         if self.claim_pending || now < self.claim_after || self.own_row.is_some() {
             return None;
         }
@@ -482,8 +482,8 @@
     Ok(AssignmentWrite {
         service,
         row,
-        change: Change {
-            unless_changed: vec![
+        change: ConditionalWrite {
+            preconditions: vec![
                 (own_rows::LEADER_KEY.to_owned(), own_row.version),
                 (key.clone(), expected),
             ],
--- a/crates/citronway/src/gateway/control/entries.rs
+++ b/crates/citronway/src/gateway/control/entries.rs
@@ -100,7 +100,7 @@
                 self.unusable.clear(Source::Entry, key);
             }
             EntryState::Unusable(cause) => {
-                registry.withdraw(&name);
+                registry.discard(&name);
                 self.unusable.record_row(Source::Entry, key, cause);
             }
         }
--- a/crates/citronway/src/gateway/control/following.rs
+++ b/crates/citronway/src/gateway/control/following.rs
@@ -82,7 +82,7 @@
                 self.request_copy(now, table, events);
                 continue;
             }
-            log::info!(table = table.word(); "others have newer rows; refreshing the table");
+            log::info!(table = table.as_str(); "others have newer rows; refreshing the table");
             if table == Table::Own && self.cluster.lacks_leader(self.leadership.term()) {
                 self.reload_own_rows();
             }
@@ -111,7 +111,7 @@
         let became_leader = is_leader && !self.was_leader;
         self.was_leader = is_leader;
         if became_leader {
-            self.tree.begin();
+            self.tree.reset();
         }
         let own_batch_ms = if is_leader { OWN_BATCH_MS } else { 0 };
         self.poll_control(Table::Own)
--- a/crates/citronway/src/gateway/control/mod.rs
+++ b/crates/citronway/src/gateway/control/mod.rs
@@ -135,11 +135,11 @@
     /// The view by which the traffic thread decides.
     pub view: watch::Sender<View>,
     /// Load that the traffic thread observed.
-    pub seen: mpsc::Receiver<Seen>,
+    pub seen: mpsc::Receiver<TrafficReport>,
     /// Requests of the traffic thread about trials of suspect work.
     pub trials: mpsc::Receiver<TrialEvent>,
     /// Requests of the traffic thread about cold endpoints.
-    pub cold: mpsc::Receiver<ColdAsk>,
+    pub cold: mpsc::Receiver<ColdQuery>,
     /// Stops the traffic thread.
     pub stop: watch::Sender<Stop>,
     /// Signals to this process.
@@ -158,7 +158,7 @@
     seen: mpsc::Receiver<TrafficReport>,
     trial_events: mpsc::Receiver<TrialEvent>,
     trials: TrialState,
-    cold_asks: mpsc::Receiver<ColdAsk>,
+    cold_asks: mpsc::Receiver<ColdQuery>,
     cold: ColdSendState,
     stop: watch::Sender<Stop>,
     signals: Signals,
@@ -167,10 +167,10 @@
     orders: OrderClient,
     report_number: u64,
     /// Load that was observed since the last report.
-    unreported: report::Seen,
+    unreported: report::Observations,
     /// Load that members reported since the last report of this delegate.
-    gathered: Gathered,
-    place: Place,
+    gathered: GatheredReports,
+    place: TreePosition,
     tree: Tree,
     /// The instances to which this leader last sent totals, and when.
     branches: Vec<Branch>,
@@ -223,9 +223,9 @@
             signals: channels.signals,
             orders: OrderClient::default(),
             report_number: 0,
-            unreported: report::Seen::default(),
-            gathered: Gathered::default(),
-            place: Place::default(),
+            unreported: report::Observations::default(),
+            gathered: GatheredReports::default(),
+            place: TreePosition::default(),
             tree: Tree::default(),
             branches: Vec::new(),
             totals_sent_at: Mono::default(),
@@ -317,7 +317,7 @@
                 sent_at,
             } => {
                 self.metrics
-                    .polled(table, matches!(update, TableUpdate::Lost(_)));
+                    .count_poll(table, matches!(update, TableUpdate::Lost(_)));
                 let is_full = matches!(update, TableUpdate::Loaded { .. });
                 match &update {
                     TableUpdate::Changed { relay, .. } => self.relay_rows(now, socket, relay),
@@ -341,7 +341,7 @@
                 }
             }
             Event::OrderDone { order, result } => {
-                self.metrics.ordered(&order.kind, &result);
+                self.metrics.count_order(&order.kind, &result);
                 self.leadership.on_order_done(now, &order, &result);
             }
             Event::WriteDone { service, result } => {
@@ -407,7 +407,7 @@
         self.step_crashes(now, events);
         self.step_cold(now);
         let (zones, ranges) = self.cluster.count_evacuated();
-        self.metrics.evacuated(zones, ranges);
+        self.metrics.set_evacuated(zones, ranges);
         for (source, count) in self.cluster.unusable.take_counts() {
             self.metrics.count_unusable(source, count);
         }
--- a/crates/citronway/src/gateway/control/orders.rs
+++ b/crates/citronway/src/gateway/control/orders.rs
@@ -36,7 +36,7 @@
         // Failure: this thread is busy and starts the call long after it was decided. The
         // leader counts from the decision, and gives the keys to another endpoint before
         // this hold ends.
-        let left_ms = order.until.since(clock::mono());
+        let left_ms = order.deadline.since(clock::mono());
         if left_ms == 0 {
             return OrderResult::TooLate;
         }
--- a/crates/citronway/src/gateway/control/peers.rs
+++ b/crates/citronway/src/gateway/control/peers.rs
@@ -35,7 +35,7 @@
 struct Peer {
     address: Option<SocketAddr>,
     zone: Option<ZoneName>,
-    sight: Option<PeerSight>,
+    sight: Option<PeerState>,
     /// When its own last report came, as opposed to news through a delegate.
     direct_at: Option<Mono>,
     report_number: u64,
@@ -85,7 +85,7 @@
         peer.seen = report.seen;
         peer.direct_at = Some(now);
         peer.endpoints.clone_from(&report.endpoints);
-        peer.update_sight(PeerSight {
+        peer.update_sight(PeerState {
             instance: report.instance.clone(),
             session: report.session,
             heard: now,
@@ -116,7 +116,7 @@
         {
             return;
         }
-        peer.update_sight(PeerSight {
+        peer.update_sight(PeerState {
             instance: member.instance.clone(),
             session: member.session,
             heard,
@@ -132,7 +132,7 @@
     pub(super) fn record_leader(&mut self, now: Mono, totals: &Totals) {
         let peer = self.entry(&totals.leader.instance);
         peer.seen = totals.seen;
-        peer.update_sight(PeerSight {
+        peer.update_sight(PeerState {
             instance: totals.leader.instance.clone(),
             session: totals.leader.id,
             heard: now,
@@ -204,7 +204,7 @@
     /// Whether there are too many instances for all to report to all, as far as is known
     /// here.
     pub(super) fn is_large_fleet(&self, now: Mono) -> bool {
-        self.listed_count() > MOST_LISTED_TELL_ALL || self.fresh_totals(now).is_some()
+        self.listed_count() > MAX_LISTED_FULL_MESH || self.fresh_totals(now).is_some()
     }
 
     /// All instances to which totals can be sent.
@@ -229,7 +229,7 @@
         let members = self
             .direct_reporters(now)
             .filter_map(|peer| peer.sight.as_ref());
-        let state = |sight: &PeerSight| MemberState {
+        let state = |sight: &PeerState| MemberState {
             instance: sight.instance.clone(),
             session: sight.session,
             heard_ago_ms: u16::try_from(now.since(sight.heard)).unwrap_or(u16::MAX),
@@ -263,7 +263,7 @@
     }
 
     /// State of each other instance that is known, for an election.
-    pub(super) fn sights(&self) -> Vec<PeerSight> {
+    pub(super) fn sights(&self) -> Vec<PeerState> {
         self.all
             .values()
             .filter_map(|peer| peer.sight.clone())
@@ -367,8 +367,8 @@
         now: Mono,
         paces: &EndpointPaces,
         own: &IndexMap<EndpointTag, EndpointUse>,
-    ) -> IndexMap<EndpointTag, Standing> {
-        let mut all = IndexMap::<EndpointTag, Standing>::new();
+    ) -> IndexMap<EndpointTag, ReportedLoad> {
+        let mut all = IndexMap::<EndpointTag, ReportedLoad>::new();
         for (instance, peer) in self.load_reporters(now) {
             let rank = rank_of(instance);
             for used in &peer.endpoints {
@@ -428,8 +428,8 @@
 impl Peer {
     /// Replaces the state of the instance; keeps the time since which it has been
     /// unchanged.
-    fn update_sight(&mut self, newer: PeerSight) {
-        let unchanged = |sight: &&PeerSight| {
+    fn update_sight(&mut self, newer: PeerState) {
+        let unchanged = |sight: &&PeerState| {
             sight.session == newer.session
                 && sight.stopping == newer.stopping
                 && sight.unfit == newer.unfit
--- a/crates/citronway/src/gateway/control/placing.rs
+++ b/crates/citronway/src/gateway/control/placing.rs
@@ -105,7 +105,7 @@
             .get(service)
             .copied()
             .unwrap_or(DEFAULT_WORK_MS);
-        let listed = cluster.registry.of(service);
+        let listed = cluster.registry.of_service(service);
         let waiting = cluster.waiting(now);
         let queues = |tag, slots| waiting.get(&tag).is_some_and(|count| *count > slots);
         let places: Vec<_> = listed
@@ -130,7 +130,7 @@
         }
         self.next_at = now.plus(AFTER_MOVES_MS);
         log::info!(service = service.as_str(), moves = moves.len(); "key moves started");
-        let left_out = leader.start(&moves, &cluster.registry);
+        let left_out = leader.start_moves(&moves, &cluster.registry);
         if left_out > 0 {
             let ranges = leader.row().ranges.len();
             log::warn!(service = service.as_str(), left_out, ranges; "assignment row has no room for all moves");
@@ -144,7 +144,7 @@
 
 /// Divides the keys of a service for the first time.
 fn divide_first(now: Mono, cluster: &Cluster, service: &ServiceName, leader: &mut Leader) {
-    let listed: Vec<_> = cluster.registry.of(service).collect();
+    let listed: Vec<_> = cluster.registry.of_service(service).collect();
     let first = listed.iter().map(|known| known.first_seen).min();
     if first.is_none_or(|at| now.since(at) < FIRST_DIVISION_AFTER_MS) {
         return;
--- a/crates/citronway/src/gateway/control/reporting.rs
+++ b/crates/citronway/src/gateway/control/reporting.rs
@@ -33,11 +33,11 @@
 
 impl Control {
     /// Records an observation of the traffic and reports it to the other instances.
-    pub(super) fn report_traffic(&mut self, socket: &UdpSocket, seen: &Seen) {
+    pub(super) fn report_traffic(&mut self, socket: &UdpSocket, seen: &TrafficReport) {
         let now = clock::mono();
         self.report_number += 1;
         self.leadership.set_work_ms(&seen.work_ms);
-        self.unreported.add(seen.looked.clone());
+        self.unreported.add(seen.usage.clone());
         self.trials.record_crashes(&seen.signs);
         self.cluster.crashes.record_own_signs(now, &seen.signs);
         if self.leads_large_fleet(now) {
@@ -57,7 +57,7 @@
     pub(super) fn leads_large_fleet(&self, now: Mono) -> bool {
         let peers = &self.cluster.peers;
         self.leadership.is_leader()
-            && (peers.is_large_fleet(now) || peers.heard_count(now) >= MOST_TELL_ALL)
+            && (peers.is_large_fleet(now) || peers.heard_count(now) >= MAX_FULL_MESH)
     }
 
     /// Sends a report to all others, in a small fleet.
@@ -96,7 +96,7 @@
         let Some(to) = to.or_else(|| self.cluster.leader_address()) else {
             return;
         };
-        let own = self.record_own_report(now).seen();
+        let own = self.record_own_report(now).into_observations();
         let members = self.cluster.peers.members(now);
         let merged = if members.is_empty() {
             own
@@ -128,7 +128,7 @@
 
     /// As the leader, sends the totals of contended endpoints to all instances.
     fn send_totals(&mut self, now: Mono, socket: &UdpSocket) {
-        if now.since(self.totals_sent_at) < TELL_MS {
+        if now.since(self.totals_sent_at) < TOTALS_INTERVAL_MS {
             return;
         }
         self.totals_sent_at = now;
@@ -202,14 +202,14 @@
             endpoints: cluster.contended(now),
             paces: cluster
                 .paces
-                .worth_telling(now, self.report_number / 2, PACE_ROUNDS),
+                .estimates_to_send(now, self.report_number / 2, PACE_ROUNDS),
             refused,
             suspects,
             members: Vec::new(),
         }
     }
 
-    fn build_report(&self, now: Mono, mut seen: report::Seen) -> Report {
+    fn build_report(&self, now: Mono, mut seen: report::Observations) -> Report {
         for samples in &mut seen.keys {
             samples.keys.truncate(MAX_KEYS);
         }
@@ -232,7 +232,7 @@
 
     /// Sends the newest known term to an instance.
     pub(super) fn send_term(&self, now: Mono, socket: &UdpSocket, to: SocketAddr) {
-        let report = self.build_report(now, report::Seen::default());
+        let report = self.build_report(now, report::Observations::default());
         self.send(socket, &datagram::encode(&Datagram::Report(report)), to);
     }
 
--- a/crates/citronway/src/gateway/control/store.rs
+++ b/crates/citronway/src/gateway/control/store.rs
@@ -128,9 +128,12 @@
     }
 
     /// Makes a conditional change; returns the version of the store after it.
-    pub(super) async fn change(&mut self, change: &Change) -> Result<Version, StoreError> {
+    pub(super) async fn change(
+        &mut self,
+        change: &ConditionalWrite,
+    ) -> Result<Version, StoreError> {
         let req = store::change(&self.address.to_string(), change)
-            .map_err(|e| StoreError::Refused(Refused::Malformed(e)))?;
+            .map_err(|e| StoreError::Refused(StoreRefusal::Malformed(e)))?;
         let answer = self.call(req, CALL_TIMEOUT).await?;
         Ok(store::read_change(answer.status, &answer.body)?)
     }
@@ -348,8 +351,8 @@
                 let now_ms = rows.now_ms;
                 Polled::Update(TableUpdate::Changed { relay, now_ms })
             }
-            Err(StoreError::Refused(Refused::HistoryGone)) => {
-                log::info!(table = self.table.word(); "table history is gone; reading the whole table");
+            Err(StoreError::Refused(StoreRefusal::HistoryGone)) => {
+                log::info!(table = self.table.as_str(); "table history is gone; reading the whole table");
                 Polled::HistoryGone
             }
             Err(e) => Polled::Update(TableUpdate::Lost(e.to_string())),
--- a/crates/citronway/src/gateway/control/trials.rs
+++ b/crates/citronway/src/gateway/control/trials.rs
@@ -176,7 +176,8 @@
         let known = self.cluster.crashes.known();
         let suspected_at = known.suspects.get(&work).copied().unwrap_or(now);
         let place = self.place_among_peers(work);
-        let may_send = self.trials.is_leaderless(now) && may_try_alone(now, suspected_at, place);
+        let may_send =
+            self.trials.is_leaderless(now) && may_try_without_leader(now, suspected_at, place);
         log::info!(work:%, may_send; "no leader answers a trial request");
         if may_send {
             TrialGrant::Granted
@@ -194,12 +195,14 @@
         let before = peers.filter(|rank| order(*rank) < own).count();
         InstancePosition {
             before: before as u64,
-            of: self.cluster.peers.listed_count() as u64,
+            total: self.cluster.peers.listed_count() as u64,
         }
     }
 
     fn end_trial(&mut self, now: Mono, socket: &UdpSocket, ended: EndedTrial) {
-        self.trials.own.ended(now, ended.id, ended.work, ended.end);
+        self.trials
+            .own
+            .record_end(now, ended.id, ended.work, ended.end);
         self.trials.pending.swap_remove(&ended.id.number);
         if self.leadership.is_leader() {
             self.record_trial_end(now, &ended);
@@ -222,7 +225,9 @@
             self.trials.record_crashes(&[crash]);
         }
         let term = self.leadership.term();
-        self.trials.granted_in(now, term).ended(now, id, work, end);
+        self.trials
+            .granted_in(now, term)
+            .record_end(now, id, work, end);
     }
 
     /// Handles a request for a trial that came from an address.
