--- a/crates/citronway/src/gateway/control/cluster/mod.rs
+++ b/crates/citronway/src/gateway/control/cluster/mod.rs
@@ -445,7 +445,7 @@
             routes: self.routes.clone(),
             registry: Arc::clone(&self.registry),
             owners: self.owners.clone(),
-            reported_loads: self.peers.standings(now, &self.paces, &self.own_use),
+            reported_loads: self.peers.reported_loads(now, &self.paces, &self.own_use),
             zone: self.zone.clone(),
             rank: self.rank,
             instances: u32::try_from(self.peers.instance_count(now)).unwrap_or(u32::MAX),
--- a/crates/citronway/src/gateway/control/cold.rs
+++ b/crates/citronway/src/gateway/control/cold.rs
@@ -47,15 +47,15 @@
 
 impl Control {
     /// Handles a request of the traffic thread for a send to a cold endpoint.
-    pub(super) fn on_cold_ask(&mut self, socket: &UdpSocket, ask: ColdQuery) {
+    pub(super) fn on_cold_query(&mut self, socket: &UdpSocket, query: ColdQuery) {
         let now = clock::mono();
         if self.leadership.is_leader() {
             let term = self.leadership.term();
-            let part = self.leadership.cold_part(now);
+            let share = self.leadership.cold_share(now);
             let granted = self.cold.granted_in(now, term);
-            let grant = granted.request_with_share(now, &ask.req, part);
+            let grant = granted.request_with_share(now, &query.req, share);
             // The caller may have left.
-            let _ = ask.reply.send(grant);
+            let _ = query.reply.send(grant);
             return;
         }
         let Some(leader) = self.reachable_leader(now) else {
@@ -67,17 +67,17 @@
             .retain(|_, pending| now.since(pending.at) < REPLY_TIMEOUT_MS);
         let asked = ColdAsked {
             session: self.me.id,
-            number: ask.number,
-            req: ask.req,
+            number: query.number,
+            req: query.req,
         };
         self.send_cold_message(socket, &Datagram::ColdRequest(asked), leader);
-        let reply = ask.reply;
+        let reply = query.reply;
         self.cold
             .pending
-            .insert(ask.number, PendingRequest { reply, at: now });
+            .insert(query.number, PendingRequest { reply, at: now });
     }
 
-    /// As the leader, counts sends that its predecessor granted from the moment it leads.
+    /// As the leader, counts sends that the former leader granted from the moment it leads.
     pub(super) fn step_cold(&mut self, now: Mono) {
         if self.leadership.is_leader() {
             self.cold.granted_in(now, self.leadership.term());
@@ -96,9 +96,9 @@
         }
         let now = clock::mono();
         let term = self.leadership.term();
-        let part = self.leadership.cold_part(now);
+        let share = self.leadership.cold_share(now);
         let granted = self.cold.granted_in(now, term);
-        let grant = granted.request_with_share(now, &asked.req, part);
+        let grant = granted.request_with_share(now, &asked.req, share);
         let reply = ColdReply {
             session: asked.session,
             number: asked.number,
--- a/crates/citronway/src/gateway/control/copies.rs
+++ b/crates/citronway/src/gateway/control/copies.rs
@@ -66,8 +66,8 @@
     pub(super) fn request_copy(&mut self, now: Mono, table: Table, events: &mpsc::Sender<Event>) {
         // Hundreds of instances that lack the same rows must ask neither the leader nor the
         // store.
-        let address = match self.place.role(now) {
-            Role::Member(_) if self.place.is_new(now) => return,
+        let address = match self.tree_position.role(now) {
+            Role::Member(_) if self.tree_position.is_new(now) => return,
             Role::Member(to) | Role::Delegate(to) => Some(to),
             Role::Alone => self.cluster.peers.with_newest(now, table, &self.cfg.zone),
         };
@@ -101,7 +101,7 @@
             return;
         }
         let by_store = self.cluster.needs_store_read(now, table);
-        if by_store || matches!(self.place.role(now), Role::Alone) {
+        if by_store || matches!(self.tree_position.role(now), Role::Alone) {
             self.poll_control(table).refresh.notify_one();
         } else {
             self.request_copy(now, table, events);
--- a/crates/citronway/src/gateway/control/crashes.rs
+++ b/crates/citronway/src/gateway/control/crashes.rs
@@ -44,7 +44,7 @@
     rank: u64,
     ledger: Ledger,
     outbox: SignQueue,
-    taken: SignReceiver,
+    received: SignReceiver,
     row: Option<StoredCrashes>,
     version: Version,
     /// A row was read at least once.
@@ -127,7 +127,7 @@
     /// Records signs that another instance reports; with `forwards`, this instance reports
     /// them on as a delegate.
     fn record_report(&mut self, now: Mono, report: &Report, forwards: bool) {
-        for sign in self.taken.new_signs(report) {
+        for sign in self.received.new_signs(report) {
             self.verdicts.extend(self.ledger.apply(now, *sign));
             if forwards {
                 self.outbox.push(*sign);
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -69,9 +69,9 @@
     /// The version of the leader's row that a claim is to replace, and when the first claim
     /// for it was sent.
     first_claim: Option<(Version, Mono)>,
-    rivals_stopped: bool,
-    /// What earlier leaders may still do, and until when.
-    rivals: PredecessorLimits,
+    former_leaders_stopped: bool,
+    /// What former leaders may still do, and until when.
+    former_limits: PredecessorLimits,
     /// The cause of unfitness that was last logged; `None` if this instance was fit.
     logged_unfit_cause: Option<&'static str>,
 }
@@ -92,8 +92,8 @@
             claim_pending: false,
             claim_after: Mono::default(),
             first_claim: None,
-            rivals_stopped: false,
-            rivals: PredecessorLimits::default(),
+            former_leaders_stopped: false,
+            former_limits: PredecessorLimits::default(),
             logged_unfit_cause: None,
         }
     }
@@ -154,13 +154,13 @@
         self.own_row.is_some()
     }
 
-    /// Part of all sends to cold endpoints that this leader may grant now, from 0 to 1;
+    /// Share of all sends to cold endpoints that this leader may grant now, from 0 to 1;
     /// `None` if this instance does not lead or may grant none.
-    pub(super) fn cold_part(&self, now: Mono) -> Option<f64> {
+    pub(super) fn cold_share(&self, now: Mono) -> Option<f64> {
         let row = self.own_row.as_ref()?;
         let state = LeaderStanding {
             confirmed_at: self.confirmed_at,
-            rivals: self.rivals,
+            rivals: self.former_limits,
             earlier_leaders: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
         };
         cold::granted_share(now, &self.cfg, &state)
@@ -244,31 +244,31 @@
         log::info!(term = row.term, former; "this instance leads");
         self.own_row = Some(row.clone());
         self.confirmed_at = sent_at;
-        self.rivals_stopped = false;
+        self.former_leaders_stopped = false;
         self.placer.reset();
         for service in cluster.sharded() {
             self.leaders
                 .entry(service.clone())
                 .or_insert_with(|| Leader::new(self.cfg, service));
         }
-        self.rivals = self.rivals(now, cluster);
+        self.former_limits = self.former_leader_limits(now, cluster);
         for leader in self.leaders.values_mut() {
-            leader.begin_term(sent_at, self.rivals);
+            leader.begin_term(sent_at, self.former_limits);
         }
     }
 
-    /// What earlier leaders may still do, on the assumption that none is known to have
+    /// What former leaders may still do, on the assumption that none is known to have
     /// stopped.
-    fn rivals(&self, now: Mono, cluster: &Cluster) -> PredecessorLimits {
+    fn former_leader_limits(&self, now: Mono, cluster: &Cluster) -> PredecessorLimits {
         let former = self.own_row.as_ref().map_or(&[][..], |row| &row.former);
         let store_ms = cluster.store_ms(now);
         let claimed = self.first_claim.map_or(now, |(_, at)| at);
-        let mut rivals = self.cfg.predecessor_limits(now);
-        rivals.hold_until = election::former_holds_until(now, &self.cfg, former, store_ms, claimed);
+        let mut limits = self.cfg.predecessor_limits(now);
+        limits.hold_until = election::former_holds_until(now, &self.cfg, former, store_ms, claimed);
         if former.is_empty() {
-            rivals.connect_until = now;
+            limits.connect_until = now;
         }
-        rivals
+        limits
     }
 
     fn step_down(&mut self, cause: &'static str) {
@@ -326,7 +326,7 @@
             return due;
         };
         due.wait_ms = LEADER_WAIT_MS;
-        self.end_rival_wait(now, &own_row, cluster);
+        self.end_former_leader_wait(now, &own_row, cluster);
         for service in cluster.sharded() {
             self.leaders.entry(service.clone()).or_insert_with(|| {
                 let mut leader = Leader::new(self.cfg, service);
@@ -356,30 +356,32 @@
         due
     }
 
-    /// Ends the wait for earlier leaders as soon as all of them are known to have stopped.
-    fn end_rival_wait(&mut self, now: Mono, own_row: &LeaderRow, cluster: &Cluster) {
-        if self.rivals_stopped || own_row.former.is_empty() {
+    /// Ends the wait for former leaders as soon as all of them are known to have stopped.
+    fn end_former_leader_wait(&mut self, now: Mono, own_row: &LeaderRow, cluster: &Cluster) {
+        if self.former_leaders_stopped || own_row.former.is_empty() {
             return;
         }
-        let sights = cluster.peers.sights();
+        let states = cluster.peers.states();
         let stopped = |former: &FormerLeader| {
             former.session.instance == self.me.instance
-                || election::has_stopped(&former.session, own_row.term, &sights)
+                || election::has_stopped(&former.session, own_row.term, &states)
         };
         if own_row.former.iter().all(stopped) {
-            self.rivals_stopped = true;
-            self.rivals = self.rivals.min(self.cfg.stopped_predecessor_limits(now));
-            log::info!(term = own_row.term; "earlier leaders have stopped");
+            self.former_leaders_stopped = true;
+            self.former_limits = self
+                .former_limits
+                .min(self.cfg.stopped_predecessor_limits(now));
+            log::info!(term = own_row.term; "former leaders have stopped");
             for leader in self.leaders.values_mut() {
                 leader.predecessor_stopped(now);
             }
         }
     }
 
-    /// Removes earlier leaders from the leader's row once all holds that they may have
+    /// Removes former leaders from the leader's row once all holds that they may have
     /// granted have ended.
     ///
-    /// Failure: an earlier leader is gone for good and never reports that it has stopped.
+    /// Failure: a former leader is gone for good and never reports that it has stopped.
     /// If it stayed in the row, each later leader would wait for it again before it assigns
     /// the keys of a dead endpoint to another one.
     fn remove_former_leaders(&mut self, now: Mono) -> Option<ConditionalWrite> {
@@ -387,7 +389,7 @@
             .own_row
             .as_ref()
             .filter(|own_row| !own_row.former.is_empty())?;
-        let free = self.rivals_stopped || now > self.rivals.hold_until;
+        let free = self.former_leaders_stopped || now > self.former_limits.hold_until;
         if !free || self.claim_pending || now < self.claim_after {
             return None;
         }
@@ -403,7 +405,7 @@
         })
     }
 
-    fn situation<'a>(
+    fn election_view<'a>(
         &'a self,
         now: Mono,
         unfit: bool,
@@ -428,18 +430,18 @@
 
     /// Whether this instance is one of the few that poll the store while no leader relays
     /// rows.
-    pub(super) fn watches(&self, now: Mono, cluster: &Cluster) -> bool {
-        let peers = cluster.peers.sights();
-        election::watches_store(now, &self.situation(now, false, cluster, &peers))
+    pub(super) fn watches_store(&self, now: Mono, cluster: &Cluster) -> bool {
+        let peers = cluster.peers.states();
+        election::watches_store(now, &self.election_view(now, false, cluster, &peers))
     }
 
     fn claim(&mut self, now: Mono, cluster: &Cluster, stopping: bool) -> Option<ConditionalWrite> {
         if self.claim_pending || now < self.claim_after || self.own_row.is_some() {
             return None;
         }
-        let peers = cluster.peers.sights();
+        let peers = cluster.peers.states();
         let unfit = stopping || self.is_unfit(now, cluster) || !cluster.own_loaded();
-        if !election::should_claim(now, &self.situation(now, unfit, cluster, &peers)) {
+        if !election::should_claim(now, &self.election_view(now, unfit, cluster, &peers)) {
             return None;
         }
         let row = cluster.leader.as_ref();
--- a/crates/citronway/src/gateway/control/following.rs
+++ b/crates/citronway/src/gateway/control/following.rs
@@ -131,15 +131,19 @@
             self.relays_heard_at = now;
             return true;
         }
-        let watches = self.leadership.is_leader() || self.leadership.watches(now, &self.cluster);
+        let watches_store =
+            self.leadership.is_leader() || self.leadership.watches_store(now, &self.cluster);
         // Load: the store is away for 8 s, and each of 295 instances tries three tables
         // once a second. So only the leader and the standbys try, and tell the others when
         // it is back.
-        if !watches && self.cluster.peers.is_large_fleet(now) && self.cluster.hears_leader(now) {
+        if !watches_store
+            && self.cluster.peers.is_large_fleet(now)
+            && self.cluster.hears_leader(now)
+        {
             self.relays_heard_at = now;
             return true;
         }
-        let pause_factor = if watches {
+        let pause_factor = if watches_store {
             1
         } else {
             let instances = self.cluster.peers.instance_count(now) as u64;
@@ -148,6 +152,6 @@
         for (_, control) in &self.polls {
             control.pause_factor.store(pause_factor, Ordering::Relaxed);
         }
-        !watches && now.since(self.relays_heard_at) < RELAY_GRACE_MS
+        !watches_store && now.since(self.relays_heard_at) < RELAY_GRACE_MS
     }
 }
--- a/crates/citronway/src/gateway/control/hearing.rs
+++ b/crates/citronway/src/gateway/control/hearing.rs
@@ -48,7 +48,7 @@
         match datagram::decode(bytes) {
             Ok(Datagram::Report(report)) => self.on_report(&report, from),
             Ok(Datagram::Relay(relay)) => {
-                if self.place.forwards_from(from) {
+                if self.tree_position.forwards_from(from) {
                     self.send_to_members(socket, bytes);
                 }
                 self.on_relay(events, &relay);
@@ -71,13 +71,13 @@
             return;
         }
         self.leadership.observe_term(totals.term);
-        let before = self.place.role(now);
-        if !self.place.accept_totals(now, &totals, from) {
+        let before = self.tree_position.role(now);
+        if !self.tree_position.accept_totals(now, &totals, from) {
             return;
         }
-        let role = self.place.role(now);
+        let role = self.tree_position.role(now);
         if role != before {
-            let members = self.place.members().len();
+            let members = self.tree_position.members().len();
             log::info!(from = from.to_string(), members, term = totals.term; "told by another instance");
         }
         let has_members = !totals.members.is_empty();
@@ -91,7 +91,7 @@
     }
 
     fn send_to_members(&self, socket: &UdpSocket, bytes: &[u8]) {
-        for address in self.place.members() {
+        for address in self.tree_position.members() {
             self.send(socket, bytes, *address);
         }
     }
@@ -109,7 +109,7 @@
         self.cluster.record_traffic(now, report);
         self.leadership.record_traffic(now, report);
         self.leadership.observe_term(report.term);
-        let is_delegate = matches!(self.place.role(now), Role::Delegate(_));
+        let is_delegate = matches!(self.tree_position.role(now), Role::Delegate(_));
         self.record_signs(now, report, is_delegate);
         if is_new_session && self.leadership.is_leader() {
             self.cluster.crashes.resend_newest_signs();
--- a/crates/citronway/src/gateway/control/mod.rs
+++ b/crates/citronway/src/gateway/control/mod.rs
@@ -158,7 +158,7 @@
     seen: mpsc::Receiver<TrafficReport>,
     trial_events: mpsc::Receiver<TrialEvent>,
     trials: TrialState,
-    cold_asks: mpsc::Receiver<ColdQuery>,
+    cold_queries: mpsc::Receiver<ColdQuery>,
     cold: ColdSendState,
     stop: watch::Sender<Stop>,
     signals: Signals,
@@ -170,7 +170,7 @@
     unreported: report::Observations,
     /// Load that members reported since the last report of this delegate.
     gathered: GatheredReports,
-    place: TreePosition,
+    tree_position: TreePosition,
     tree: Tree,
     /// The instances to which this leader last sent totals, and when.
     branches: Vec<Branch>,
@@ -217,7 +217,7 @@
             seen: channels.seen,
             trial_events: channels.trials,
             trials: TrialState::default(),
-            cold_asks: channels.cold,
+            cold_queries: channels.cold,
             cold: ColdSendState::default(),
             stop: channels.stop,
             signals: channels.signals,
@@ -225,7 +225,7 @@
             report_number: 0,
             unreported: report::Observations::default(),
             gathered: GatheredReports::default(),
-            place: TreePosition::default(),
+            tree_position: TreePosition::default(),
             tree: Tree::default(),
             branches: Vec::new(),
             totals_sent_at: Mono::default(),
@@ -276,7 +276,7 @@
                 },
                 Some(event) = events.recv() => self.on_event(&socket, &events_tx, event),
                 Some(event) = self.trial_events.recv() => self.on_trial_event(&socket, event),
-                Some(ask) = self.cold_asks.recv() => self.on_cold_ask(&socket, ask),
+                Some(query) = self.cold_queries.recv() => self.on_cold_query(&socket, query),
                 Ok((len, from)) = socket.recv_from(&mut buf) => {
                     self.on_datagram(&socket, &events_tx, &buf[..len], from);
                 }
--- a/crates/citronway/src/gateway/control/peers.rs
+++ b/crates/citronway/src/gateway/control/peers.rs
@@ -35,7 +35,7 @@
 struct Peer {
     address: Option<SocketAddr>,
     zone: Option<ZoneName>,
-    sight: Option<PeerState>,
+    state: Option<PeerState>,
     /// When its own last report came, as opposed to news through a delegate.
     direct_at: Option<Mono>,
     report_number: u64,
@@ -63,8 +63,8 @@
 
     /// Whether this session of an instance has been heard of.
     pub(super) fn knows_session(&self, instance: &InstanceName, session: SessionId) -> bool {
-        let sight = self.all.get(instance).and_then(|peer| peer.sight.as_ref());
-        sight.is_some_and(|sight| sight.session == session)
+        let state = self.all.get(instance).and_then(|peer| peer.state.as_ref());
+        state.is_some_and(|state| state.session == session)
     }
 
     /// Records a report that came from an address; returns false if a newer one was
@@ -75,9 +75,9 @@
         // while the store is silent has read no rows, and knows the others only by this.
         peer.address.get_or_insert(from);
         let same = peer
-            .sight
+            .state
             .as_ref()
-            .is_some_and(|sight| sight.session == report.session);
+            .is_some_and(|state| state.session == report.session);
         if same && report.number <= peer.report_number {
             return false;
         }
@@ -85,7 +85,7 @@
         peer.seen = report.seen;
         peer.direct_at = Some(now);
         peer.endpoints.clone_from(&report.endpoints);
-        peer.update_sight(PeerState {
+        peer.update_state(PeerState {
             instance: report.instance.clone(),
             session: report.session,
             heard: now,
@@ -110,13 +110,13 @@
             peer.endpoints.clear();
         }
         if peer
-            .sight
+            .state
             .as_ref()
-            .is_some_and(|sight| sight.heard >= heard)
+            .is_some_and(|state| state.heard >= heard)
         {
             return;
         }
-        peer.update_sight(PeerState {
+        peer.update_state(PeerState {
             instance: member.instance.clone(),
             session: member.session,
             heard,
@@ -132,7 +132,7 @@
     pub(super) fn record_leader(&mut self, now: Mono, totals: &Totals) {
         let peer = self.entry(&totals.leader.instance);
         peer.seen = totals.seen;
-        peer.update_sight(PeerState {
+        peer.update_state(PeerState {
             instance: totals.leader.instance.clone(),
             session: totals.leader.id,
             heard: now,
@@ -148,7 +148,7 @@
         self.all.entry(instance.clone()).or_insert_with(|| Peer {
             address: None,
             zone: None,
-            sight: None,
+            state: None,
             direct_at: None,
             report_number: 0,
             seen: Versions::default(),
@@ -210,15 +210,15 @@
     /// All instances to which totals can be sent.
     pub(super) fn candidates(&self) -> Vec<Candidate<'_>> {
         let all = self.all.iter().filter_map(|(instance, peer)| {
-            let sight = peer.sight.as_ref();
+            let state = peer.state.as_ref();
             Some(Candidate {
                 instance,
                 address: peer.address?,
                 zone: peer.zone.as_ref()?,
-                heard: sight.map(|sight| sight.heard),
+                heard: state.map(|state| state.heard),
                 heard_directly: peer.direct_at,
-                strength: sight.map_or(Strength::default(), |sight| sight.strength),
-                is_staying: sight.is_some_and(|sight| !sight.stopping),
+                strength: state.map_or(Strength::default(), |state| state.strength),
+                is_staying: state.is_some_and(|state| !state.stopping),
             })
         });
         all.collect()
@@ -228,17 +228,17 @@
     pub(super) fn members(&self, now: Mono) -> Vec<MemberState> {
         let members = self
             .direct_reporters(now)
-            .filter_map(|peer| peer.sight.as_ref());
-        let state = |sight: &PeerState| MemberState {
-            instance: sight.instance.clone(),
-            session: sight.session,
-            heard_ago_ms: u16::try_from(now.since(sight.heard)).unwrap_or(u16::MAX),
-            term: sight.term,
-            stopping: sight.stopping,
-            unfit: sight.unfit,
-            strength: sight.strength,
+            .filter_map(|peer| peer.state.as_ref());
+        let member_state = |state: &PeerState| MemberState {
+            instance: state.instance.clone(),
+            session: state.session,
+            heard_ago_ms: u16::try_from(now.since(state.heard)).unwrap_or(u16::MAX),
+            term: state.term,
+            stopping: state.stopping,
+            unfit: state.unfit,
+            strength: state.strength,
         };
-        members.map(state).collect()
+        members.map(member_state).collect()
     }
 
     /// Endpoint, requests in flight, and requests waiting, for each use that a member of
@@ -263,10 +263,10 @@
     }
 
     /// State of each other instance that is known, for an election.
-    pub(super) fn sights(&self) -> Vec<PeerState> {
+    pub(super) fn states(&self) -> Vec<PeerState> {
         self.all
             .values()
-            .filter_map(|peer| peer.sight.clone())
+            .filter_map(|peer| peer.state.clone())
             .collect()
     }
 
@@ -332,20 +332,20 @@
     /// Whether the leader that the row names is heard, fit and not stopping, so that it
     /// relays rows.
     pub(super) fn leader_relays_rows(&self, now: Mono, leader: &LeaderRow) -> bool {
-        let sight = self.leader_sight(now, leader);
-        sight.is_some_and(|sight| !sight.unfit && !sight.stopping && sight.term <= leader.term)
+        let state = self.leader_state(now, leader);
+        state.is_some_and(|state| !state.unfit && !state.stopping && state.term <= leader.term)
     }
 
     /// Whether the leader that the row names is heard, also if it is unfit.
     pub(super) fn hears(&self, now: Mono, leader: &LeaderRow) -> bool {
-        self.leader_sight(now, leader).is_some()
+        self.leader_state(now, leader).is_some()
     }
 
-    fn leader_sight(&self, now: Mono, leader: &LeaderRow) -> Option<&PeerState> {
+    fn leader_state(&self, now: Mono, leader: &LeaderRow) -> Option<&PeerState> {
         let peer = self.all.get(&leader.instance)?;
-        let sight = peer.sight.as_ref()?;
-        let heard = now.since(sight.heard) < LEADER_SILENT_MS;
-        (heard && sight.session == leader.session).then_some(sight)
+        let state = peer.state.as_ref()?;
+        let heard = now.since(state.heard) < LEADER_SILENT_MS;
+        (heard && state.session == leader.session).then_some(state)
     }
 
     /// Waiting requests of the other instances, by endpoint.
@@ -362,7 +362,7 @@
 
     /// Load of each endpoint by requests of the other instances; `own` is what this
     /// instance itself reported.
-    pub(super) fn standings(
+    pub(super) fn reported_loads(
         &self,
         now: Mono,
         paces: &EndpointPaces,
@@ -376,25 +376,25 @@
                 if wanted == 0 {
                     continue;
                 }
-                let standing = all.entry(used.tag).or_default();
-                standing.in_flight += used.in_flight;
-                standing.waiting += used.waiting;
-                standing.others.push(Demand { rank, wanted });
+                let load = all.entry(used.tag).or_default();
+                load.in_flight += used.in_flight;
+                load.waiting += used.waiting;
+                load.others.push(Demand { rank, wanted });
             }
         }
         for total in self.fresh_totals(now).iter().flat_map(|t| &t.endpoints) {
             let own = own.get(&total.tag).copied().unwrap_or_default();
-            let standing = all.entry(total.tag).or_default();
+            let load = all.entry(total.tag).or_default();
             // Direct reports are newer than totals.
             let in_flight = total.in_flight.saturating_sub(own.in_flight);
             let waiting = total.waiting.saturating_sub(own.waiting);
-            standing.in_flight = standing.in_flight.max(in_flight);
-            standing.waiting = standing.waiting.max(waiting);
-            standing.is_sum = true;
+            load.in_flight = load.in_flight.max(in_flight);
+            load.waiting = load.waiting.max(waiting);
+            load.is_sum = true;
         }
-        for (tag, standing) in &mut all {
-            standing.slowness = paces.slowness(now, *tag);
-            standing.failure_ratio = paces.failing(now, *tag);
+        for (tag, load) in &mut all {
+            load.slowness = paces.slowness(now, *tag);
+            load.failure_ratio = paces.failing(now, *tag);
         }
         all
     }
@@ -406,9 +406,9 @@
             STALE_MS
         };
         self.all.iter().filter(move |(_, peer)| {
-            peer.sight
+            peer.state
                 .as_ref()
-                .is_some_and(|sight| now.since(sight.heard) < stale_ms)
+                .is_some_and(|state| now.since(state.heard) < stale_ms)
         })
     }
 
@@ -428,15 +428,15 @@
 impl Peer {
     /// Replaces the state of the instance; keeps the time since which it has been
     /// unchanged.
-    fn update_sight(&mut self, newer: PeerState) {
-        let unchanged = |sight: &&PeerState| {
-            sight.session == newer.session
-                && sight.stopping == newer.stopping
-                && sight.unfit == newer.unfit
+    fn update_state(&mut self, newer: PeerState) {
+        let unchanged = |state: &&PeerState| {
+            state.session == newer.session
+                && state.stopping == newer.stopping
+                && state.unfit == newer.unfit
         };
-        let known = self.sight.as_ref().filter(unchanged);
-        let since = known.map_or(newer.since, |sight| sight.since);
-        self.sight = Some(PeerState { since, ..newer });
+        let known = self.state.as_ref().filter(unchanged);
+        let since = known.map_or(newer.since, |state| state.since);
+        self.state = Some(PeerState { since, ..newer });
     }
 }
 
--- a/crates/citronway/src/gateway/control/placing.rs
+++ b/crates/citronway/src/gateway/control/placing.rs
@@ -108,10 +108,10 @@
         let listed = cluster.registry.of_service(service);
         let waiting = cluster.waiting(now);
         let queues = |tag, slots| waiting.get(&tag).is_some_and(|count| *count > slots);
-        let places: Vec<_> = listed
+        let endpoints: Vec<_> = listed
             .map(|known| {
                 let queue = queues(EndpointTag::of(&known.listing.start), known.listing.slots);
-                place_of(now, cluster, leader, known, work_ms, queue)
+                placement_endpoint(now, cluster, leader, known, work_ms, queue)
             })
             .collect();
         let loads = self
@@ -119,12 +119,12 @@
             .entry(service.clone())
             .or_insert_with(|| new_loads(now));
         loads.decay(now);
-        let scene = PlacementInput {
+        let input = PlacementInput {
             row: leader.row(),
             load: loads,
-            endpoints: &places,
+            endpoints: &endpoints,
         };
-        let moves = placement::propose(&scene);
+        let moves = placement::propose(&input);
         if moves.is_empty() {
             return;
         }
@@ -155,7 +155,7 @@
 }
 
 /// Describes an endpoint for the placement.
-fn place_of(
+fn placement_endpoint(
     now: Mono,
     cluster: &Cluster,
     leader: &Leader,
--- a/crates/citronway/src/gateway/control/reporting.rs
+++ b/crates/citronway/src/gateway/control/reporting.rs
@@ -45,7 +45,7 @@
             self.send_totals(now, socket);
             return;
         }
-        match self.place.role(now) {
+        match self.tree_position.role(now) {
             Role::Alone if !self.cluster.peers.is_large_fleet(now) => self.broadcast(now, socket),
             Role::Alone => self.report_to_parent(now, socket, ALONE_PERIOD, None),
             Role::Member(to) => self.report_to_parent(now, socket, MEMBER_PERIOD, Some(to)),
@@ -109,7 +109,7 @@
         (report.first_sign, report.signs) = self.cluster.crashes.take_signs();
         let bytes = datagram::encode(&Datagram::Report(report));
         self.send(socket, &bytes, to);
-        if self.place.role(now) == Role::Alone {
+        if self.tree_position.role(now) == Role::Alone {
             // In other roles the view is published when totals come.
             self.publish(now);
         }
@@ -176,8 +176,8 @@
         if now.since(self.standbys.1) < kept_ms {
             return;
         }
-        let sights = self.cluster.peers.sights();
-        self.standbys = (election::standbys(now, &sights), now);
+        let states = self.cluster.peers.states();
+        self.standbys = (election::standbys(now, &states), now);
     }
 
     fn build_totals(&mut self, now: Mono) -> Totals {
--- a/crates/citronway/src/gateway/control/trials.rs
+++ b/crates/citronway/src/gateway/control/trials.rs
@@ -99,15 +99,15 @@
     pub(super) fn on_trial_event(&mut self, socket: &UdpSocket, event: TrialEvent) {
         let now = clock::mono();
         match event {
-            TrialEvent::Request(ask) => {
-                let id = self.trial_id(ask.number);
+            TrialEvent::Request(query) => {
+                let id = self.trial_id(query.number);
                 let req = TrialRequest {
                     id,
-                    work: ask.work,
-                    expected_ms: ask.expected_ms,
-                    limit_ms: ask.limit_ms,
+                    work: query.work,
+                    expected_ms: query.expected_ms,
+                    limit_ms: query.limit_ms,
                 };
-                self.request_trial(now, socket, req, ask.reply);
+                self.request_trial(now, socket, req, query.reply);
             }
             TrialEvent::Ended { number, work, end } => {
                 let id = self.trial_id(number);
@@ -175,9 +175,9 @@
     fn grant_without_leader(&mut self, now: Mono, work: Fingerprint) -> TrialGrant {
         let known = self.cluster.crashes.known();
         let suspected_at = known.suspects.get(&work).copied().unwrap_or(now);
-        let place = self.place_among_peers(work);
+        let position = self.position_among_peers(work);
         let may_send =
-            self.trials.is_leaderless(now) && may_try_without_leader(now, suspected_at, place);
+            self.trials.is_leaderless(now) && may_try_without_leader(now, suspected_at, position);
         log::info!(work:%, may_send; "no leader answers a trial request");
         if may_send {
             TrialGrant::Granted
@@ -188,7 +188,7 @@
         }
     }
 
-    fn place_among_peers(&self, work: Fingerprint) -> InstancePosition {
+    fn position_among_peers(&self, work: Fingerprint) -> InstancePosition {
         let order = |rank: u64| rank ^ work.0;
         let own = order(self.cluster.rank());
         let peers = self.cluster.peers.ranks();
--- a/crates/citronway/tests/gateway_leader_row.rs
+++ b/crates/citronway/tests/gateway_leader_row.rs
@@ -11,7 +11,7 @@
 const INSTANCES: usize = 5;
 const ROUNDS: usize = 6;
 
-/// Delay of the earlier leader's start after the others.
+/// Delay of the former leader's start after the others.
 const LEADER_LATER: Duration = Duration::from_millis(250);
 
 /// Highest term of a leader's row that an instance has logged; 0 if there is none.
@@ -30,7 +30,7 @@
     let names = (0..INSTANCES).map(|n| format!("one-{n}"));
     let mut instances: Vec<_> = names.map(|name| deployment.ready_instance(&name)).collect();
     for _ in 0..ROUNDS {
-        until("no earlier leader is waited for", || {
+        until("no former leader is waited for", || {
             let row = deployment.store.own("keeper").expect("a leader");
             row["former"].as_array().is_some_and(Vec::is_empty)
         });
@@ -39,7 +39,7 @@
         for instance in &mut instances {
             instance.kill();
         }
-        // Another instance leads next, and knows that the earlier leader has ended.
+        // Another instance leads next, and knows that the former leader has ended.
         instances.sort_by_key(|instance| instance.name() == leader);
         for instance in &mut instances {
             if instance.name() == leader {
--- a/crates/citronway/tests/gateway_sight.rs
+++ b/crates/citronway/tests/gateway_sight.rs
@@ -23,20 +23,20 @@
 struct Stalled {
     // The parts of the deployment end when this is dropped.
     _deployment: Deployment,
-    mute: SilentEndpoint,
+    silent: SilentEndpoint,
     instance: Instance,
     logs: Logs,
 }
 
 impl Stalled {
     fn start() -> Self {
-        let (deployment, mute) = silent_deployment();
+        let (deployment, silent) = silent_deployment();
         let mut instance = deployment.instance_with_piped_logs("one");
         let logs = instance.logs();
         until("the instance is ready", || instance.is_ready());
         Self {
             _deployment: deployment,
-            mute,
+            silent,
             instance,
             logs,
         }
@@ -104,7 +104,7 @@
         exchange(callers, &head, "x")
     });
     until("the endpoint has a connection", || {
-        stalled.mute.connections() > 0
+        stalled.silent.connections() > 0
     });
     stalled.wait_for_metric("citronway_unanswered{stage=\"at_endpoint\"} 1\n");
     stalled.instance.terminate();
