--- a/crates/citronway/src/gateway/control/cluster/evacuations.rs
+++ b/crates/citronway/src/gateway/control/cluster/evacuations.rs
@@ -103,9 +103,7 @@
                 let just_now = since.is_some();
                 log::info!(zone, version, endpoints, just_now; "zone evacuated");
             }
-            ZoneState::Restored => {
-                log::info!(zone, version, endpoints; "zone restored")
-            }
+            ZoneState::Restored => log::info!(zone, version, endpoints; "zone restored"),
         }
     }
 }
