--- a/crates/citronway/src/gateway/control/cluster/evacuations.rs
+++ b/crates/citronway/src/gateway/control/cluster/evacuations.rs
@@ -81,11 +81,11 @@
         }
         let rows = self.owners.values();
         let holders = rows.flat_map(|owners| &owners.assignment.ranges);
-        let left = holders.filter(|range| {
+        let ranges = holders.filter(|range| {
             let known = self.registry.get(&range.holder.endpoint);
             known.is_some_and(citronway_core::gateway::registry::ListedEndpoint::is_evacuated)
         });
-        (zones, left.count())
+        (zones, ranges.count())
     }
 
     fn log_zone_change(&self, change: &ZoneChange) {
--- a/crates/citronway/src/gateway/control/cluster/load.rs
+++ b/crates/citronway/src/gateway/control/cluster/load.rs
@@ -34,26 +34,26 @@
     /// Totals of endpoints whose requests, in flight and waiting, exceed half of their
     /// slots; those with the most waiting requests first.
     pub(in super::super) fn contended(&self, now: Mono) -> Vec<EndpointTotal> {
-        let mut sums = self.peers.sums(now);
+        let mut totals = self.peers.endpoint_totals(now);
         for used in self.own_use.values() {
-            let sum = sums.entry(used.tag).or_default();
-            sum.tag = used.tag;
-            sum.in_flight += used.in_flight;
-            sum.waiting += used.waiting;
+            let total = totals.entry(used.tag).or_default();
+            total.tag = used.tag;
+            total.in_flight += used.in_flight;
+            total.waiting += used.waiting;
         }
         let listed = self.registry.iter();
         let slots: IndexMap<_, _> = listed
             .map(|known| (EndpointTag::of(&known.listing.start), known.listing.slots))
             .collect();
-        let is_contended = |sum: &EndpointTotal| {
-            let wanted = sum.in_flight + sum.waiting;
+        let is_contended = |total: &EndpointTotal| {
+            let wanted = total.in_flight + total.waiting;
             // Requests that wait for no particular endpoint count too; their tag has no
             // slots.
-            let slots = slots.get(&sum.tag).copied().unwrap_or_default();
+            let slots = slots.get(&total.tag).copied().unwrap_or_default();
             wanted > 0 && wanted * 2 > slots
         };
-        let mut contended: Vec<_> = sums.into_values().filter(is_contended).collect();
-        contended.sort_unstable_by_key(|sum| Reverse((sum.waiting, sum.in_flight)));
+        let mut contended: Vec<_> = totals.into_values().filter(is_contended).collect();
+        contended.sort_unstable_by_key(|total| Reverse((total.waiting, total.in_flight)));
         contended.truncate(MAX_TOTALS);
         contended
     }
--- a/crates/citronway/src/gateway/control/cluster/mod.rs
+++ b/crates/citronway/src/gateway/control/cluster/mod.rs
@@ -314,7 +314,7 @@
     /// Whether the leader is heard, also if it is unfit.
     pub(super) fn hears_leader(&self, now: Mono) -> bool {
         let leader = self.leader.as_ref();
-        leader.is_some_and(|row| self.peers.hears(now, row))
+        leader.is_some_and(|row| self.peers.hears_leader(now, row))
     }
 
     /// Drops entries of endpoints that stayed missing after an outage of the store.
--- a/crates/citronway/src/gateway/control/own_rows.rs
+++ b/crates/citronway/src/gateway/control/own_rows.rs
@@ -142,7 +142,7 @@
     /// Copy of a relay in which large rows are replaced by patches against the known row,
     /// where most of the row is unchanged. Rows that were relayed before are left out.
     pub(super) fn with_patches(&self, relay: &Relay) -> Relay {
-        let mut slim = Relay {
+        let mut patched = Relay {
             rows: Vec::new(),
             ..relay.clone()
         };
@@ -151,11 +151,11 @@
                 continue;
             }
             match self.patch_for(row) {
-                Some(patch) => slim.patches.push(patch),
-                None => slim.rows.push(row.clone()),
+                Some(patch) => patched.patches.push(patch),
+                None => patched.rows.push(row.clone()),
             }
         }
-        slim
+        patched
     }
 
     /// Whether a row is an assignment that is already known. It was relayed when it was
--- a/crates/citronway/src/gateway/control/peers.rs
+++ b/crates/citronway/src/gateway/control/peers.rs
@@ -172,18 +172,18 @@
     }
 
     /// Requests of all other instances in flight and waiting, by endpoint.
-    pub(super) fn sums(&self, now: Mono) -> IndexMap<EndpointTag, EndpointTotal> {
-        let mut sums = IndexMap::<_, EndpointTotal>::new();
+    pub(super) fn endpoint_totals(&self, now: Mono) -> IndexMap<EndpointTag, EndpointTotal> {
+        let mut totals = IndexMap::<_, EndpointTotal>::new();
         for used in self
             .load_reporters(now)
             .flat_map(|(_, peer)| &peer.endpoints)
         {
-            let sum = sums.entry(used.tag).or_default();
-            sum.tag = used.tag;
-            sum.in_flight += used.in_flight;
-            sum.waiting += used.waiting;
+            let total = totals.entry(used.tag).or_default();
+            total.tag = used.tag;
+            total.in_flight += used.in_flight;
+            total.waiting += used.waiting;
         }
-        sums
+        totals
     }
 
     /// Addresses to which to send reports where all report to all.
@@ -337,7 +337,7 @@
     }
 
     /// Whether the leader that the row names is heard, also if it is unfit.
-    pub(super) fn hears(&self, now: Mono, leader: &LeaderRow) -> bool {
+    pub(super) fn hears_leader(&self, now: Mono, leader: &LeaderRow) -> bool {
         self.leader_state(now, leader).is_some()
     }
 
--- a/crates/citronway/src/gateway/control/placing.rs
+++ b/crates/citronway/src/gateway/control/placing.rs
@@ -167,10 +167,10 @@
     let tag = EndpointTag::of(&listing.start);
     let healthy = 1.0 - cluster.paces.failing(now, tag).min(MAX_FAILURE_SHARE);
     let lost = leader.is_lost(now, &listing.start);
-    let taken_ms = work_ms * cluster.paces.slowness(now, tag);
+    let expected_ms = work_ms * cluster.paces.slowness(now, tag);
     PlacementEndpoint {
         endpoint: listing.start.clone(),
-        capacity: f64::from(listing.slots) * 1_000.0 * healthy / taken_ms,
+        capacity: f64::from(listing.slots) * 1_000.0 * healthy / expected_ms,
         accepts_keys: known.accepts_work() && !lost && known.warm_at <= now,
         must_drain: lost || !known.accepts_work(),
         has_queue: queue,
