--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -1,4 +1,5 @@
-//! The leader's duty on this instance: claiming it, and keeping while it has it.
+//! Leadership of this instance: claims it in an election, and acts as the leader while it
+//! has it.
 
 use citronway_core::gateway::assignment::{Assignment, RowError};
 use citronway_core::gateway::cold::{self, LeaderStanding};
@@ -16,65 +17,67 @@
 
 use super::cluster::Cluster;
 use super::own_rows;
-use super::placing::Placing;
+use super::placing::Placer;
 use super::store::{IDLE_WAIT_MS, LEADER_WAIT_MS};
 
-/// Time between two claims that failed, in milliseconds.
+/// Pause after a claim before the next one, in milliseconds.
 const CLAIM_PAUSE_MS: u64 = 500;
 
-/// How far the store's clock may be ahead of what is reckoned of it, in milliseconds:
-/// the time that an answer takes when the store is slowed sixtyfold, twice over.
+/// Margin in milliseconds by which the store's clock may be ahead of the estimate of it:
+/// twice the time that an answer takes when the store is slowed sixtyfold.
 const CLOCK_MARGIN_MS: u64 = 500;
 
-/// Age of the last confirmation at which a leader gives the duty up, in
-/// milliseconds: longer than a poll with its limit, well before its grants have to end.
+/// Age of the store's last confirmation, in milliseconds, at which a leader counts as
+/// unfit, so that others claim leadership: longer than a poll with its timeout, and well
+/// before its grants have to end.
 const UNCONFIRMED_MS: u64 = 2_500;
 
-/// A row to be written.
+/// A conditional write of the assignment of a service.
 #[derive(Debug)]
-pub(super) struct RowWrite {
+pub(super) struct AssignmentWrite {
     pub service: ServiceName,
     pub row: Assignment,
     pub change: ConditionalWrite,
 }
 
-/// What is due.
+/// Work that [`Leadership::step`] found to be due.
 #[derive(Debug)]
-pub(super) struct Due {
+pub(super) struct DueActions {
     pub orders: Vec<Order>,
-    pub writes: Vec<RowWrite>,
+    pub writes: Vec<AssignmentWrite>,
     pub claim: Option<ConditionalWrite>,
-    /// How long to wait at the store for changes, in milliseconds.
+    /// Longest wait of a poll of the store for changes, in milliseconds.
     pub wait_ms: u64,
 }
 
 #[derive(Debug)]
-pub(super) struct Duty {
+pub(super) struct Leadership {
     me: Session,
     strength: Strength,
-    /// Since when a leader could know of this instance.
+    /// Time from which on a leader can know of this instance.
     known_since: Mono,
     cfg: LeaderSettings,
     leaders: IndexMap<ServiceName, Leader>,
-    placing: Placing,
-    /// Row by which this instance is in office.
-    office: Option<LeaderRow>,
-    /// Highest term that was heard of.
+    placer: Placer,
+    /// The leader's row that names this instance; `None` while another instance leads.
+    own_row: Option<LeaderRow>,
+    /// Highest term of any leader that is known.
     term: u64,
-    contact: Mono,
-    claiming: bool,
+    confirmed_at: Mono,
+    claim_pending: bool,
     claim_after: Mono,
-    /// When the first claim was sent that replaces a version of the leader's row, and which.
-    claimed: Option<(Version, Mono)>,
-    cleared: bool,
-    /// What earlier leaders may still do.
-    rivals: PredecessorLimits,
-    /// Why this instance is not fit to lead, as it was last logged.
-    unfit_for: Option<&'static str>,
+    /// The version of the leader's row that a claim is to replace, and when the first claim
+    /// for it was sent.
+    first_claim: Option<(Version, Mono)>,
+    former_leaders_stopped: bool,
+    /// What former leaders may still do, and until when.
+    former_limits: PredecessorLimits,
+    /// The cause of unfitness that was last logged; `None` if this instance was fit.
+    logged_unfit_cause: Option<&'static str>,
 }
 
-impl Duty {
-    /// `known_since` is when a leader can know of this instance at the latest.
+impl Leadership {
+    /// `known_since` is the latest time from which on a leader can know of this instance.
     pub(super) fn new(me: Session, strength: Strength, known_since: Mono) -> Self {
         Self {
             me,
@@ -82,21 +85,21 @@
             known_since,
             cfg: LeaderSettings::default(),
             leaders: IndexMap::new(),
-            placing: Placing::default(),
-            office: None,
+            placer: Placer::default(),
+            own_row: None,
             term: 0,
-            contact: Mono::default(),
-            claiming: false,
+            confirmed_at: Mono::default(),
+            claim_pending: false,
             claim_after: Mono::default(),
-            claimed: None,
-            cleared: false,
-            rivals: PredecessorLimits::default(),
-            unfit_for: None,
+            first_claim: None,
+            former_leaders_stopped: false,
+            former_limits: PredecessorLimits::default(),
+            logged_unfit_cause: None,
         }
     }
 
-    /// Notes that the store lists this instance since before its start.
-    pub(super) fn listed_at(&mut self, started: Mono) {
+    /// Records that the store has listed this instance since `started`.
+    pub(super) fn set_known_since(&mut self, started: Mono) {
         self.known_since = started;
     }
 
@@ -104,77 +107,79 @@
         self.term
     }
 
-    pub(super) fn term_heard(&mut self, term: u64) {
+    pub(super) fn observe_term(&mut self, term: u64) {
         if term <= self.term {
             return;
         }
         self.term = term;
-        // Failure: a leader that cannot reach the store does not see that it was
-        // replaced, and grants beside its successor. Any instance that knows of the
-        // successor stops it.
-        if self.office.as_ref().is_some_and(|row| row.term < term) {
-            self.leave_office("a later leader is heard of");
+        // Failure: a leader that cannot reach the store does not see that it was replaced,
+        // and grants keys at the same time as its successor. Any instance that knows the
+        // successor's term makes it step down.
+        if self.own_row.as_ref().is_some_and(|row| row.term < term) {
+            self.step_down("a leader of a later term is known");
         }
     }
 
-    /// Whether this instance should not keep.
+    /// Whether this instance must not lead.
     pub(super) fn is_unfit(&self, now: Mono, cluster: &Cluster) -> bool {
-        self.unfitness(now, cluster).is_some()
+        self.unfit_cause(now, cluster).is_some()
     }
 
-    /// Why this instance should not keep, if there is a reason.
-    fn unfitness(&self, now: Mono, cluster: &Cluster) -> Option<&'static str> {
+    /// The reason why this instance must not lead; `None` if it is fit.
+    fn unfit_cause(&self, now: Mono, cluster: &Cluster) -> Option<&'static str> {
         if cluster.store_lost() {
             return Some("the store does not answer");
         }
-        if self.office.is_some() && now.since(self.contact) > UNCONFIRMED_MS {
+        if self.own_row.is_some() && now.since(self.confirmed_at) > UNCONFIRMED_MS {
             return Some("the store has not confirmed the leader");
         }
         let cut_off = self.leaders.values().any(|leader| leader.is_cut_off(now));
         cut_off.then_some("most endpoints do not answer")
     }
 
-    fn note_fitness(&mut self, now: Mono, cluster: &Cluster) {
-        let cause = self.unfitness(now, cluster);
-        if cause == self.unfit_for {
+    fn log_fitness(&mut self, now: Mono, cluster: &Cluster) {
+        let cause = self.unfit_cause(now, cluster);
+        if cause == self.logged_unfit_cause {
             return;
         }
-        self.unfit_for = cause;
+        self.logged_unfit_cause = cause;
         match cause {
             Some(cause) => log::info!(cause; "this instance is not fit to lead"),
             None => log::info!("this instance is fit to lead"),
         }
     }
 
-    /// Whether this instance is the leader as far as it knows.
-    pub(super) const fn in_office(&self) -> bool {
-        self.office.is_some()
+    /// Whether this instance is the leader, as far as it knows.
+    pub(super) const fn is_leader(&self) -> bool {
+        self.own_row.is_some()
     }
 
-    /// Which part of all sends to cold endpoints this leader grants now.
-    pub(super) fn cold_part(&self, now: Mono) -> Option<f64> {
-        let row = self.office.as_ref()?;
-        let office = LeaderStanding {
-            confirmed_at: self.contact,
-            former_leader_limits: self.rivals,
+    /// Share of all sends to cold endpoints that this leader may grant now, from 0 to 1;
+    /// `None` if this instance does not lead or may grant none.
+    pub(super) fn cold_share(&self, now: Mono) -> Option<f64> {
+        let row = self.own_row.as_ref()?;
+        let state = LeaderStanding {
+            confirmed_at: self.confirmed_at,
+            former_leader_limits: self.former_limits,
             former_leaders: u32::try_from(row.former.len()).unwrap_or(u32::MAX),
         };
-        cold::granted_share(now, &self.cfg, &office)
+        cold::granted_share(now, &self.cfg, &state)
     }
 
-    /// Version of the row by which this instance leads, while it does.
-    pub(super) fn office_version(&self) -> Option<Version> {
-        self.office.as_ref().map(|row| row.version)
+    /// Version of the leader's row by which this instance leads; `None` if it does not.
+    pub(super) fn row_version(&self) -> Option<Version> {
+        self.own_row.as_ref().map(|row| row.version)
     }
 
-    /// Takes rows that another instance passed on; they confirm nothing.
-    pub(super) fn rows_relayed(&mut self, cluster: &Cluster) {
-        self.take_assignments(cluster);
+    /// Takes rows that another instance relayed. They do not confirm this instance as the
+    /// leader.
+    pub(super) fn apply_relayed_rows(&mut self, cluster: &Cluster) {
+        self.update_assignments(cluster);
         let Some(row) = &cluster.leader else { return };
-        self.term_heard(row.term);
+        self.observe_term(row.term);
     }
 
-    fn take_assignments(&mut self, cluster: &Cluster) {
+    fn update_assignments(&mut self, cluster: &Cluster) {
         for (service, owners) in &cluster.owners {
             let leader = self
                 .leaders
@@ -186,27 +191,29 @@
         }
     }
 
-    /// Takes the rows as believed after an answer to a call sent at `asked`; `whole` if it
-    /// brought all of them. Returns whether all are to be read first, because this instance is
-    /// to lead and knows rows only as a leader passed them on.
+    /// Takes the rows of `cluster` after the store answered a poll that was sent at
+    /// `sent_at`; `is_full` if the answer had all rows of the table. Returns true if all rows
+    /// must be read from the store before this instance may lead, since it knows them from
+    /// relays only.
     ///
-    /// Failure: a relayed row was lost, and the next leader goes by an assignment that the
-    /// store no longer has. It renews holds of an endpoint whose keys have another owner.
-    pub(super) fn rows_seen(
+    /// Failure: a relayed row is lost, and the next leader starts from an assignment that
+    /// the store no longer has. It renews holds of an endpoint whose keys have another
+    /// owner.
+    pub(super) fn apply_store_rows(
         &mut self,
         now: Mono,
-        asked: Mono,
+        sent_at: Mono,
         cluster: &Cluster,
-        whole: bool,
+        is_full: bool,
     ) -> bool {
-        self.take_assignments(cluster);
+        self.update_assignments(cluster);
         let Some(row) = &cluster.leader else {
             return false;
         };
         self.term = self.term.max(row.term);
         if row.instance != self.me.instance || row.session != self.me.id {
-            if self.office.is_some() {
-                self.leave_office("the row names another leader");
+            if self.own_row.is_some() {
+                self.step_down("the row names another leader");
             }
             return false;
         }
@@ -214,119 +221,120 @@
             return false;
         }
         if self
-            .office
+            .own_row
             .as_ref()
-            .is_some_and(|office| office.term == row.term)
+            .is_some_and(|own_row| own_row.term == row.term)
         {
-            self.office = Some(row.clone());
-            self.contact = self.contact.max(asked);
+            self.own_row = Some(row.clone());
+            self.confirmed_at = self.confirmed_at.max(sent_at);
             for leader in self.leaders.values_mut() {
-                leader.confirm(asked);
+                leader.confirm(sent_at);
             }
         } else if row.term == self.term {
-            if !whole && cluster.peers.was_told() {
+            if !is_full && cluster.peers.has_totals() {
                 return true;
             }
-            self.take_office(now, asked, row, cluster);
+            self.become_leader(now, sent_at, row, cluster);
         }
         false
     }
 
-    fn take_office(&mut self, now: Mono, asked: Mono, row: &LeaderRow, cluster: &Cluster) {
+    fn become_leader(&mut self, now: Mono, sent_at: Mono, row: &LeaderRow, cluster: &Cluster) {
         let former = row.former.len();
         log::info!(term = row.term, former; "this instance leads");
-        self.office = Some(row.clone());
-        self.contact = asked;
-        self.cleared = false;
-        self.placing.begin();
+        self.own_row = Some(row.clone());
+        self.confirmed_at = sent_at;
+        self.former_leaders_stopped = false;
+        self.placer.reset();
         for service in cluster.sharded() {
             self.leaders
                 .entry(service.clone())
                 .or_insert_with(|| Leader::new(self.cfg, service));
         }
-        self.rivals = self.rivals(now, cluster);
+        self.former_limits = self.former_leader_limits(now, cluster);
         for leader in self.leaders.values_mut() {
-            leader.begin_term(asked, self.rivals);
+            leader.begin_term(sent_at, self.former_limits);
         }
     }
 
-    /// What earlier leaders may still do, if none is known to have stopped.
-    fn rivals(&self, now: Mono, cluster: &Cluster) -> PredecessorLimits {
-        let former = self.office.as_ref().map_or(&[][..], |row| &row.former);
+    /// What former leaders may still do, on the assumption that none is known to have
+    /// stopped.
+    fn former_leader_limits(&self, now: Mono, cluster: &Cluster) -> PredecessorLimits {
+        let former = self.own_row.as_ref().map_or(&[][..], |row| &row.former);
         let store_ms = cluster.store_ms(now);
-        let claimed = self.claimed.map_or(now, |(_, at)| at);
-        let mut rivals = self.cfg.predecessor_limits(now);
-        rivals.hold_until = election::former_holds_until(now, &self.cfg, former, store_ms, claimed);
+        let claimed = self.first_claim.map_or(now, |(_, at)| at);
+        let mut limits = self.cfg.predecessor_limits(now);
+        limits.hold_until = election::former_holds_until(now, &self.cfg, former, store_ms, claimed);
         if former.is_empty() {
-            rivals.connect_until = now;
+            limits.connect_until = now;
         }
-        rivals
+        limits
     }
 
-    fn leave_office(&mut self, cause: &'static str) {
+    fn step_down(&mut self, cause: &'static str) {
         log::info!(cause; "this instance no longer leads");
-        self.office = None;
+        self.own_row = None;
         for leader in self.leaders.values_mut() {
             leader.end_term();
         }
     }
 
-    pub(super) fn ordered(&mut self, now: Mono, order: &Order, result: &OrderResult) {
+    pub(super) fn on_order_done(&mut self, now: Mono, order: &Order, result: &OrderResult) {
         if let Some(leader) = self.leaders.get_mut(&order.service) {
             leader.answered(now, order, result);
         }
     }
 
-    pub(super) fn wrote(&mut self, now: Mono, service: &ServiceName, result: WriteResult) {
+    pub(super) fn on_write_done(&mut self, now: Mono, service: &ServiceName, result: WriteResult) {
         if let Some(leader) = self.leaders.get_mut(service) {
             leader.handle_write_result(now, result);
         }
     }
 
-    /// Whether a write of the leader's row is under way.
-    pub(super) const fn is_claiming(&self) -> bool {
-        self.claiming
+    /// Whether a write of the leader's row is in progress.
+    pub(super) const fn is_claim_pending(&self) -> bool {
+        self.claim_pending
     }
 
-    pub(super) fn claim_ended(&mut self) {
-        self.claiming = false;
+    pub(super) fn on_claim_done(&mut self) {
+        self.claim_pending = false;
     }
 
-    /// Takes the usual time of work at each service.
-    pub(super) fn work_seen(&mut self, work_ms: &[(ServiceName, f64)]) {
-        self.placing.work_seen(work_ms);
+    /// Sets the typical service time of each service, in milliseconds.
+    pub(super) fn set_work_ms(&mut self, work_ms: &[(ServiceName, f64)]) {
+        self.placer.set_work_ms(work_ms);
     }
 
-    /// Takes the keys that an instance, this one too, was asked for.
-    pub(super) fn traffic_seen(&mut self, now: Mono, report: &Report) {
-        if self.office.is_some() {
-            self.placing.traffic_seen(now, report);
+    /// Adds the sampled keys of a report, which may be this instance's own.
+    pub(super) fn record_traffic(&mut self, now: Mono, report: &Report) {
+        if self.own_row.is_some() {
+            self.placer.record_traffic(now, report);
         }
     }
 
-    /// What is due now.
-    pub(super) fn step(&mut self, now: Mono, cluster: &mut Cluster, stopping: bool) -> Due {
-        self.note_fitness(now, cluster);
+    /// Returns the actions that are due, and logs changes of fitness.
+    pub(super) fn step(&mut self, now: Mono, cluster: &mut Cluster, stopping: bool) -> DueActions {
+        self.log_fitness(now, cluster);
         let claim = self.claim(now, cluster, stopping);
-        let mut due = Due {
+        let mut due = DueActions {
             orders: Vec::new(),
             writes: Vec::new(),
-            claim: claim.or_else(|| self.forget_former(now)),
+            claim: claim.or_else(|| self.remove_former_leaders(now)),
             wait_ms: IDLE_WAIT_MS,
         };
-        let Some(office) = self.office.clone() else {
+        let Some(own_row) = self.own_row.clone() else {
             return due;
         };
         due.wait_ms = LEADER_WAIT_MS;
-        self.clear_rivals(now, &office, cluster);
+        self.end_former_leader_wait(now, &own_row, cluster);
         for service in cluster.sharded() {
             self.leaders.entry(service.clone()).or_insert_with(|| {
                 let mut leader = Leader::new(self.cfg, service);
-                leader.begin_term(self.contact, PredecessorLimits::default());
+                leader.begin_term(self.confirmed_at, PredecessorLimits::default());
                 leader
             });
         }
-        self.placing.place(now, cluster, &mut self.leaders);
+        self.placer.place(now, cluster, &mut self.leaders);
         for leader in self.leaders.values_mut() {
             for action in leader.step(now, &cluster.registry) {
                 match action {
@@ -335,11 +343,11 @@
                         service,
                         row,
                         expected,
-                    } => match row_write(&office, service.clone(), row, expected) {
+                    } => match assignment_write(&own_row, service.clone(), row, expected) {
                         Ok(write) => due.writes.push(write),
                         Err(e) => {
                             let service = service.as_str();
-                            log::error!(service, cause = e.to_string(); "row not written");
+                            log::error!(service, cause = e.to_string(); "assignment not written");
                         }
                     },
                 }
@@ -348,53 +356,56 @@
         due
     }
 
-    /// Lifts the wait for earlier leaders once all are known to have stopped.
-    fn clear_rivals(&mut self, now: Mono, office: &LeaderRow, cluster: &Cluster) {
-        if self.cleared || office.former.is_empty() {
+    /// Ends the wait for former leaders as soon as all of them are known to have stopped.
+    fn end_former_leader_wait(&mut self, now: Mono, own_row: &LeaderRow, cluster: &Cluster) {
+        if self.former_leaders_stopped || own_row.former.is_empty() {
             return;
         }
-        let sights = cluster.peers.sights();
+        let states = cluster.peers.states();
         let stopped = |former: &FormerLeader| {
             former.session.instance == self.me.instance
-                || election::has_stopped(&former.session, office.term, &sights)
+                || election::has_stopped(&former.session, own_row.term, &states)
         };
-        if office.former.iter().all(stopped) {
-            self.cleared = true;
-            self.rivals = self.rivals.min(self.cfg.stopped_predecessor_limits(now));
-            log::info!(term = office.term; "earlier leaders have stopped");
+        if own_row.former.iter().all(stopped) {
+            self.former_leaders_stopped = true;
+            self.former_limits = self
+                .former_limits
+                .min(self.cfg.stopped_predecessor_limits(now));
+            log::info!(term = own_row.term; "former leaders have stopped");
             for leader in self.leaders.values_mut() {
                 leader.predecessor_stopped(now);
             }
         }
     }
 
-    /// Takes earlier leaders out of the row once they cannot have given holds.
+    /// Removes former leaders from the leader's row once all holds that they may have
+    /// granted have ended.
     ///
-    /// Failure: an instance that kept is gone for good and never says that it has
-    /// stopped. Left in the row, each later leader would wait for it anew before it
-    /// gives the keys of a dead endpoint to another.
-    fn forget_former(&mut self, now: Mono) -> Option<ConditionalWrite> {
-        let office = self
-            .office
+    /// Failure: a former leader is gone for good and never reports that it has stopped.
+    /// If it stayed in the row, each later leader would wait for it again before it assigns
+    /// the keys of a dead endpoint to another one.
+    fn remove_former_leaders(&mut self, now: Mono) -> Option<ConditionalWrite> {
+        let own_row = self
+            .own_row
             .as_ref()
-            .filter(|office| !office.former.is_empty())?;
-        let free = self.cleared || now > self.rivals.hold_until;
-        if !free || self.claiming || now < self.claim_after {
+            .filter(|own_row| !own_row.former.is_empty())?;
+        let free = self.former_leaders_stopped || now > self.former_limits.hold_until;
+        if !free || self.claim_pending || now < self.claim_after {
             return None;
         }
-        let value = own_rows::leader_value(&self.me, office.term, Vec::new());
+        let value = own_rows::leader_value(&self.me, own_row.term, Vec::new());
         let value = value
             .inspect_err(|e| log::error!(cause = e.to_string(); "leader row not written"))
             .ok()?;
-        self.claiming = true;
+        self.claim_pending = true;
         self.claim_after = now.plus(CLAIM_PAUSE_MS);
         Some(ConditionalWrite {
-            preconditions: vec![(own_rows::LEADER_KEY.to_owned(), office.version)],
+            preconditions: vec![(own_rows::LEADER_KEY.to_owned(), own_row.version)],
             put: vec![(own_rows::LEADER_KEY.to_owned(), value)],
         })
     }
 
-    fn situation<'a>(
+    fn election_view<'a>(
         &'a self,
         now: Mono,
         unfit: bool,
@@ -412,25 +423,25 @@
             row_seen: cluster.leader_seen,
             peers,
             standbys: cluster.peers.standbys(),
-            instances: cluster.peers.listed(),
-            is_large_fleet: cluster.peers.are_many(now) || cluster.peers.was_told(),
+            instances: cluster.peers.listed_count(),
+            is_large_fleet: cluster.peers.is_large_fleet(now) || cluster.peers.has_totals(),
         }
     }
 
-    /// Whether this instance is among those that follow the store while nobody tells the
-    /// others of it.
-    pub(super) fn watches(&self, now: Mono, cluster: &Cluster) -> bool {
-        let peers = cluster.peers.sights();
-        election::watches_store(now, &self.situation(now, false, cluster, &peers))
+    /// Whether this instance is one of the few that poll the store while no leader relays
+    /// rows.
+    pub(super) fn watches_store(&self, now: Mono, cluster: &Cluster) -> bool {
+        let peers = cluster.peers.states();
+        election::watches_store(now, &self.election_view(now, false, cluster, &peers))
     }
 
     fn claim(&mut self, now: Mono, cluster: &Cluster, stopping: bool) -> Option<ConditionalWrite> {
-        if self.claiming || now < self.claim_after || self.office.is_some() {
+        if self.claim_pending || now < self.claim_after || self.own_row.is_some() {
             return None;
         }
-        let peers = cluster.peers.sights();
+        let peers = cluster.peers.states();
         let unfit = stopping || self.is_unfit(now, cluster) || !cluster.own_loaded();
-        if !election::should_claim(now, &self.situation(now, unfit, cluster, &peers)) {
+        if !election::should_claim(now, &self.election_view(now, unfit, cluster, &peers)) {
             return None;
         }
         let row = cluster.leader.as_ref();
@@ -446,10 +457,13 @@
                 return None;
             }
         };
-        log::info!(term; "claiming the leader's duty");
-        self.claiming = true;
-        if self.claimed.is_none_or(|(version, _)| version != expected) {
-            self.claimed = Some((expected, now));
+        log::info!(term; "claiming leadership");
+        self.claim_pending = true;
+        if self
+            .first_claim
+            .is_none_or(|(version, _)| version != expected)
+        {
+            self.first_claim = Some((expected, now));
         }
         self.claim_after = now.plus(CLAIM_PAUSE_MS);
         Some(ConditionalWrite {
@@ -459,20 +473,20 @@
     }
 }
 
-fn row_write(
-    office: &LeaderRow,
+fn assignment_write(
+    own_row: &LeaderRow,
     service: ServiceName,
     row: Assignment,
     expected: Version,
-) -> Result<RowWrite, RowError> {
+) -> Result<AssignmentWrite, RowError> {
     let key = own_rows::assignment_key(&service);
     let value = row.to_bytes()?;
-    Ok(RowWrite {
+    Ok(AssignmentWrite {
         service,
         row,
         change: ConditionalWrite {
             preconditions: vec![
-                (own_rows::LEADER_KEY.to_owned(), office.version),
+                (own_rows::LEADER_KEY.to_owned(), own_row.version),
                 (key.clone(), expected),
             ],
             put: vec![(key, value)],
--- a/crates/citronway/src/gateway/control/peers.rs
+++ b/crates/citronway/src/gateway/control/peers.rs
@@ -1,4 +1,4 @@
-//! What the other instances report.
+//! The other instances, by their rows and reports and by the leader's totals.
 
 use std::net::SocketAddr;
 
@@ -16,28 +16,29 @@
 use citronway_core::time::Mono;
 use indexmap::IndexMap;
 
-/// Silence after which a report no longer counts, in milliseconds: ten reports where all
-/// tell all; through a delegate, long enough that it survives a change of the delegate.
+/// Silence after which a report is stale, in milliseconds. Where all report to all, this is
+/// ten reports; through a delegate, it is long enough to last through a change of the
+/// delegate.
 const STALE_MS: u64 = 1_000;
 const STALE_THROUGH_DELEGATE_MS: u64 = 1_500;
 
-/// Silence after which what an instance has in flight no longer counts where delegates sum
-/// it up, in milliseconds: three reports of a member. Its next delegate counts it too.
-const SUMMED_MS: u64 = 600;
+/// Silence after which the load of an instance is no longer counted where delegates sum it
+/// up, in milliseconds: three reports of a member. Its next delegate counts it too.
+const LOAD_STALE_MS: u64 = 600;
 
-/// Silence of the leader after which its rows are no longer waited for, in
-/// milliseconds: six reports.
-const QUIET_MS: u64 = 600;
+/// Silence of the leader after which its relays are no longer waited for, in milliseconds:
+/// six reports.
+const LEADER_SILENT_MS: u64 = 600;
 
 /// An instance of which a row or a report was seen.
 #[derive(Debug)]
 struct Peer {
     address: Option<SocketAddr>,
     zone: Option<ZoneName>,
-    sight: Option<PeerState>,
-    /// When a report of its own came.
-    direct: Option<Mono>,
-    number: u64,
+    state: Option<PeerState>,
+    /// When its own last report came, as opposed to news through a delegate.
+    direct_at: Option<Mono>,
+    report_number: u64,
     seen: Versions,
     endpoints: Vec<EndpointUse>,
 }
@@ -46,44 +47,45 @@
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     all: IndexMap<InstanceName, Peer>,
-    /// Sums that the leader told last, and when.
+    /// The last totals of a leader, and when they came.
     totals: Option<(Totals, Mono)>,
-    /// Instances by the sums of leaders.
+    /// Number of instances, by the totals of leaders.
     fleet: FleetSize,
 }
 
 impl Peers {
-    /// Takes the row of an instance.
-    pub(super) fn row_seen(&mut self, instance: &InstanceName, row: InstanceRow) {
+    /// Records the row of an instance.
+    pub(super) fn set_row(&mut self, instance: &InstanceName, row: InstanceRow) {
         let peer = self.entry(instance);
         peer.address = Some(row.address);
         peer.zone = Some(row.zone);
     }
 
-    /// Whether this start of an instance was heard of.
-    pub(super) fn knows(&self, instance: &InstanceName, session: SessionId) -> bool {
-        let sight = self.all.get(instance).and_then(|peer| peer.sight.as_ref());
-        sight.is_some_and(|sight| sight.session == session)
+    /// Whether this session of an instance has been heard of.
+    pub(super) fn knows_session(&self, instance: &InstanceName, session: SessionId) -> bool {
+        let state = self.all.get(instance).and_then(|peer| peer.state.as_ref());
+        state.is_some_and(|state| state.session == session)
     }
 
-    /// Takes a report that came from an address; false if a newer one was taken before.
-    pub(super) fn report(&mut self, now: Mono, report: &Report, from: SocketAddr) -> bool {
+    /// Records a report that came from an address; returns false if a newer one was
+    /// recorded before.
+    pub(super) fn record_report(&mut self, now: Mono, report: &Report, from: SocketAddr) -> bool {
         let peer = self.entry(&report.instance);
-        // Instances send from the address at which they listen. Whoever starts while the
-        // store is silent has read no rows and knows the others by this alone.
+        // Instances send from the address at which they listen. An instance that starts
+        // while the store is silent has read no rows, and knows the others only by this.
         peer.address.get_or_insert(from);
         let same = peer
-            .sight
+            .state
             .as_ref()
-            .is_some_and(|sight| sight.session == report.session);
-        if same && report.number <= peer.number {
+            .is_some_and(|state| state.session == report.session);
+        if same && report.number <= peer.report_number {
             return false;
         }
-        peer.number = report.number;
+        peer.report_number = report.number;
         peer.seen = report.seen;
-        peer.direct = Some(now);
+        peer.direct_at = Some(now);
         peer.endpoints.clone_from(&report.endpoints);
-        peer.see(PeerState {
+        peer.update_state(PeerState {
             instance: report.instance.clone(),
             session: report.session,
             heard: now,
@@ -94,27 +96,27 @@
             strength: report.strength,
         });
         for member in &report.members {
-            self.member_heard(now, member);
+            self.record_member(now, member);
         }
         true
     }
 
-    /// Takes what a delegate says of one of its members.
-    fn member_heard(&mut self, now: Mono, member: &MemberState) {
+    /// Records the state of a member that its delegate reports.
+    fn record_member(&mut self, now: Mono, member: &MemberState) {
         let heard = now.minus(u64::from(member.heard_ago_ms));
         let peer = self.entry(&member.instance);
-        if peer.direct.is_none_or(|at| at < heard) {
-            // Its delegate counts what it has in flight.
+        if peer.direct_at.is_none_or(|at| at < heard) {
+            // Its delegate now counts its requests in flight.
             peer.endpoints.clear();
         }
         if peer
-            .sight
+            .state
             .as_ref()
-            .is_some_and(|sight| sight.heard >= heard)
+            .is_some_and(|state| state.heard >= heard)
         {
             return;
         }
-        peer.see(PeerState {
+        peer.update_state(PeerState {
             instance: member.instance.clone(),
             session: member.session,
             heard,
@@ -126,11 +128,11 @@
         });
     }
 
-    /// Takes what the leader's sums say of the leader itself.
-    pub(super) fn leader_heard(&mut self, now: Mono, totals: &Totals) {
+    /// Records the state of the leader itself from its totals.
+    pub(super) fn record_leader(&mut self, now: Mono, totals: &Totals) {
         let peer = self.entry(&totals.leader.instance);
         peer.seen = totals.seen;
-        peer.see(PeerState {
+        peer.update_state(PeerState {
             instance: totals.leader.instance.clone(),
             session: totals.leader.id,
             heard: now,
@@ -146,16 +148,16 @@
         self.all.entry(instance.clone()).or_insert_with(|| Peer {
             address: None,
             zone: None,
-            sight: None,
-            direct: None,
-            number: 0,
+            state: None,
+            direct_at: None,
+            report_number: 0,
             seen: Versions::default(),
             endpoints: Vec::new(),
         })
     }
 
-    /// Takes the sums of a leader; older ones are ignored.
-    pub(super) fn totals(&mut self, now: Mono, totals: Totals) {
+    /// Records the totals of a leader, unless newer ones were recorded before.
+    pub(super) fn set_totals(&mut self, now: Mono, totals: Totals) {
         let newest = self.totals.as_ref().map(|(t, _)| (t.term, t.number));
         if newest.is_none_or(|newest| newest < (totals.term, totals.number)) {
             self.fleet.update(now, totals.instances);
@@ -163,144 +165,156 @@
         }
     }
 
-    /// The sums that a leader told a moment ago.
+    /// The last totals, unless they are stale.
     pub(super) fn fresh_totals(&self, now: Mono) -> Option<&Totals> {
         let (totals, at) = self.totals.as_ref()?;
         (now.since(*at) < STALE_MS).then_some(totals)
     }
 
-    /// Requests in flight and waiting of all other instances, by endpoint.
-    pub(super) fn sums(&self, now: Mono) -> IndexMap<EndpointTag, EndpointTotal> {
-        let mut sums = IndexMap::<_, EndpointTotal>::new();
-        for used in self.summed(now).flat_map(|(_, peer)| &peer.endpoints) {
-            let sum = sums.entry(used.tag).or_default();
-            sum.tag = used.tag;
-            sum.in_flight += used.in_flight;
-            sum.waiting += used.waiting;
+    /// Requests of all other instances in flight and waiting, by endpoint.
+    pub(super) fn endpoint_totals(&self, now: Mono) -> IndexMap<EndpointTag, EndpointTotal> {
+        let mut totals = IndexMap::<_, EndpointTotal>::new();
+        for used in self
+            .load_reporters(now)
+            .flat_map(|(_, peer)| &peer.endpoints)
+        {
+            let total = totals.entry(used.tag).or_default();
+            total.tag = used.tag;
+            total.in_flight += used.in_flight;
+            total.waiting += used.waiting;
         }
-        sums
+        totals
     }
 
-    /// Where to send reports where all tell all.
+    /// Addresses to which to send reports where all report to all.
     pub(super) fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.all.values().filter_map(|peer| peer.address)
     }
 
-    /// Order of each other instance among all.
+    /// Ranks of all other instances, by which instances are ordered.
     pub(super) fn ranks(&self) -> impl Iterator<Item = u64> {
         self.all.keys().map(rank_of)
     }
 
-    /// Instances that are listed, this one included.
-    pub(super) fn listed(&self) -> usize {
+    /// Number of listed instances, including this one.
+    pub(super) fn listed_count(&self) -> usize {
         self.all.len() + 1
     }
 
-    /// Whether there are too many instances for all to tell all, as far as is known here.
-    pub(super) fn are_many(&self, now: Mono) -> bool {
-        self.listed() > MAX_LISTED_FULL_MESH || self.fresh_totals(now).is_some()
+    /// Whether there are too many instances for all to report to all, as far as is known
+    /// here.
+    pub(super) fn is_large_fleet(&self, now: Mono) -> bool {
+        self.listed_count() > MAX_LISTED_FULL_MESH || self.fresh_totals(now).is_some()
     }
 
-    /// All instances that can be told of the sums.
+    /// All instances to which totals can be sent.
     pub(super) fn candidates(&self) -> Vec<Candidate<'_>> {
         let all = self.all.iter().filter_map(|(instance, peer)| {
-            let sight = peer.sight.as_ref();
+            let state = peer.state.as_ref();
             Some(Candidate {
                 instance,
                 address: peer.address?,
                 zone: peer.zone.as_ref()?,
-                heard: sight.map(|sight| sight.heard),
-                heard_directly: peer.direct,
-                strength: sight.map_or(Strength::default(), |sight| sight.strength),
-                is_staying: sight.is_some_and(|sight| !sight.stopping),
+                heard: state.map(|state| state.heard),
+                heard_directly: peer.direct_at,
+                strength: state.map_or(Strength::default(), |state| state.strength),
+                is_staying: state.is_some_and(|state| !state.stopping),
             })
         });
         all.collect()
     }
 
-    /// Members of this delegate, as the leader wants to know them.
+    /// States of this delegate's members, for its report to the leader.
     pub(super) fn members(&self, now: Mono) -> Vec<MemberState> {
-        let members = self.reporting(now).filter_map(|peer| peer.sight.as_ref());
-        let state = |sight: &PeerState| MemberState {
-            instance: sight.instance.clone(),
-            session: sight.session,
-            heard_ago_ms: u16::try_from(now.since(sight.heard)).unwrap_or(u16::MAX),
-            term: sight.term,
-            stopping: sight.stopping,
-            unfit: sight.unfit,
-            strength: sight.strength,
+        let members = self
+            .direct_reporters(now)
+            .filter_map(|peer| peer.state.as_ref());
+        let member_state = |state: &PeerState| MemberState {
+            instance: state.instance.clone(),
+            session: state.session,
+            heard_ago_ms: u16::try_from(now.since(state.heard)).unwrap_or(u16::MAX),
+            term: state.term,
+            stopping: state.stopping,
+            unfit: state.unfit,
+            strength: state.strength,
         };
-        members.map(state).collect()
+        members.map(member_state).collect()
     }
 
-    /// What the members of this delegate have at endpoints or want to send there.
+    /// Endpoint, requests in flight, and requests waiting, for each use that a member of
+    /// this delegate reported.
     pub(super) fn members_use(&self, now: Mono) -> impl Iterator<Item = (EndpointTag, u32, u32)> {
-        let uses = self.reporting(now).flat_map(|peer| &peer.endpoints);
+        let uses = self.direct_reporters(now).flat_map(|peer| &peer.endpoints);
         uses.map(|used| (used.tag, used.in_flight, used.waiting))
     }
 
-    /// Instances that report to this one.
-    fn reporting(&self, now: Mono) -> impl Iterator<Item = &Peer> {
+    /// Instances that report directly to this one.
+    fn direct_reporters(&self, now: Mono) -> impl Iterator<Item = &Peer> {
         let all = self.all.values();
-        all.filter(move |peer| peer.direct.is_some_and(|at| now.since(at) < SUMMED_MS))
+        all.filter(move |peer| {
+            peer.direct_at
+                .is_some_and(|at| now.since(at) < LOAD_STALE_MS)
+        })
     }
 
-    /// Where an instance takes reports.
+    /// Address to which an instance's reports go; `None` if it is not known.
     pub(super) fn address(&self, instance: &InstanceName) -> Option<SocketAddr> {
         self.all.get(instance)?.address
     }
 
-    /// What is known of each for an election.
-    pub(super) fn sights(&self) -> Vec<PeerState> {
+    /// State of each other instance that is known, for an election.
+    pub(super) fn states(&self) -> Vec<PeerState> {
         self.all
             .values()
-            .filter_map(|peer| peer.sight.clone())
+            .filter_map(|peer| peer.state.clone())
             .collect()
     }
 
-    /// Other instances that are heard.
-    pub(super) fn heard(&self, now: Mono) -> usize {
+    /// Number of other instances that are heard.
+    pub(super) fn heard_count(&self, now: Mono) -> usize {
         self.fresh(now).count()
     }
 
-    /// Instances that share the load, this one included, as far as is known.
+    /// Number of instances that share the load, including this one, as far as is known.
     ///
-    /// Failure: the leader is lost, and each of hundreds takes itself for one of few and
-    /// uses up second sends that all share. So the last number that was told holds on.
-    pub(super) fn instances(&self, now: Mono) -> usize {
-        let heard = self.heard(now) + 1;
-        let told = self.fleet.count() as usize;
-        if told > 0 {
-            return told.max(heard);
+    /// Failure: the leader is lost, and each of hundreds of instances takes itself for one
+    /// of few and uses up second sends that all of them share. So the last number from
+    /// totals stays in force.
+    pub(super) fn instance_count(&self, now: Mono) -> usize {
+        let heard = self.heard_count(now) + 1;
+        let reported = self.fleet.count() as usize;
+        if reported > 0 {
+            return reported.max(heard);
         }
-        if self.are_many(now) {
+        if self.is_large_fleet(now) {
             return self.all.len().max(heard);
         }
         heard
     }
 
-    /// Whether a leader ever told sums.
-    pub(super) const fn was_told(&self) -> bool {
+    /// Whether any leader has ever sent totals.
+    pub(super) const fn has_totals(&self) -> bool {
         self.totals.is_some()
     }
 
-    /// Who claims first when the leader falls silent.
+    /// Instances that claim first when the leader falls silent.
     pub(super) fn standbys(&self) -> &[InstanceName] {
         self.totals
             .as_ref()
             .map_or(&[], |(totals, _)| &totals.standbys)
     }
 
-    /// The newest versions that any instance has seen.
+    /// The newest versions that any other instance has seen.
     pub(super) fn newest(&self, now: Mono) -> Versions {
-        let told = self.fresh_totals(now).map(|totals| totals.seen);
+        let from_totals = self.fresh_totals(now).map(|totals| totals.seen);
         let reported = self.fresh(now).map(|(_, peer)| peer.seen);
         reported
-            .chain(told)
+            .chain(from_totals)
             .fold(Versions::default(), Versions::newer)
     }
 
-    /// Where an instance listens that has the newest rows of a table; those of `zone` first.
+    /// Address of an instance with the newest rows of a table, preferably in `zone`; `None`
+    /// if no heard instance has rows.
     pub(super) fn with_newest(
         &self,
         now: Mono,
@@ -315,109 +329,114 @@
         best.address
     }
 
-    /// Whether the leader that the row names is heard and reaches the store.
-    pub(super) fn passes_rows(&self, now: Mono, leader: &LeaderRow) -> bool {
-        let sight = self.leader_sight(now, leader);
-        sight.is_some_and(|sight| !sight.unfit && !sight.stopping && sight.term <= leader.term)
+    /// Whether the leader that the row names is heard, fit and not stopping, so that it
+    /// relays rows.
+    pub(super) fn leader_relays_rows(&self, now: Mono, leader: &LeaderRow) -> bool {
+        let state = self.leader_state(now, leader);
+        state.is_some_and(|state| !state.unfit && !state.stopping && state.term <= leader.term)
     }
 
-    /// Whether the leader that the row names is heard, fit or not.
-    pub(super) fn hears(&self, now: Mono, leader: &LeaderRow) -> bool {
-        self.leader_sight(now, leader).is_some()
+    /// Whether the leader that the row names is heard, also if it is unfit.
+    pub(super) fn hears_leader(&self, now: Mono, leader: &LeaderRow) -> bool {
+        self.leader_state(now, leader).is_some()
     }
 
-    fn leader_sight(&self, now: Mono, leader: &LeaderRow) -> Option<&PeerState> {
+    fn leader_state(&self, now: Mono, leader: &LeaderRow) -> Option<&PeerState> {
         let peer = self.all.get(&leader.instance)?;
-        let sight = peer.sight.as_ref()?;
-        let heard = now.since(sight.heard) < QUIET_MS;
-        (heard && sight.session == leader.session).then_some(sight)
+        let state = peer.state.as_ref()?;
+        let heard = now.since(state.heard) < LEADER_SILENT_MS;
+        (heard && state.session == leader.session).then_some(state)
     }
 
-    /// Requests of others that wait for each endpoint.
+    /// Waiting requests of the other instances, by endpoint.
     pub(super) fn waiting(&self, now: Mono) -> IndexMap<EndpointTag, u32> {
         let mut waiting = IndexMap::new();
-        for used in self.summed(now).flat_map(|(_, peer)| &peer.endpoints) {
+        for used in self
+            .load_reporters(now)
+            .flat_map(|(_, peer)| &peer.endpoints)
+        {
             *waiting.entry(used.tag).or_default() += used.waiting;
         }
         waiting
     }
 
-    /// Load of each endpoint by what is in flight elsewhere; `own` is what this instance
-    /// itself reported.
-    pub(super) fn standings(
+    /// Load of each endpoint by requests of the other instances; `own` is what this
+    /// instance itself reported.
+    pub(super) fn reported_loads(
         &self,
         now: Mono,
         paces: &EndpointPaces,
         own: &IndexMap<EndpointTag, EndpointUse>,
     ) -> IndexMap<EndpointTag, ReportedLoad> {
         let mut all = IndexMap::<EndpointTag, ReportedLoad>::new();
-        for (instance, peer) in self.summed(now) {
+        for (instance, peer) in self.load_reporters(now) {
             let rank = rank_of(instance);
             for used in &peer.endpoints {
                 let wanted = used.in_flight + used.waiting;
                 if wanted == 0 {
                     continue;
                 }
-                let standing = all.entry(used.tag).or_default();
-                standing.in_flight += used.in_flight;
-                standing.waiting += used.waiting;
-                standing.others.push(Demand { rank, wanted });
+                let load = all.entry(used.tag).or_default();
+                load.in_flight += used.in_flight;
+                load.waiting += used.waiting;
+                load.others.push(Demand { rank, wanted });
             }
         }
         for total in self.fresh_totals(now).iter().flat_map(|t| &t.endpoints) {
             let own = own.get(&total.tag).copied().unwrap_or_default();
-            let standing = all.entry(total.tag).or_default();
-            // The nearer reports are newer.
+            let load = all.entry(total.tag).or_default();
+            // Direct reports are newer than totals.
             let in_flight = total.in_flight.saturating_sub(own.in_flight);
             let waiting = total.waiting.saturating_sub(own.waiting);
-            standing.in_flight = standing.in_flight.max(in_flight);
-            standing.waiting = standing.waiting.max(waiting);
-            standing.is_sum = true;
+            load.in_flight = load.in_flight.max(in_flight);
+            load.waiting = load.waiting.max(waiting);
+            load.is_sum = true;
         }
-        for (tag, standing) in &mut all {
-            standing.slowness = paces.slowness(now, *tag);
-            standing.failure_ratio = paces.failing(now, *tag);
+        for (tag, load) in &mut all {
+            load.slowness = paces.slowness(now, *tag);
+            load.failure_ratio = paces.failing(now, *tag);
         }
         all
     }
 
     fn fresh(&self, now: Mono) -> impl Iterator<Item = (&InstanceName, &Peer)> {
-        let stale_ms = if self.are_many(now) {
+        let stale_ms = if self.is_large_fleet(now) {
             STALE_THROUGH_DELEGATE_MS
         } else {
             STALE_MS
         };
         self.all.iter().filter(move |(_, peer)| {
-            peer.sight
+            peer.state
                 .as_ref()
-                .is_some_and(|sight| now.since(sight.heard) < stale_ms)
+                .is_some_and(|state| now.since(state.heard) < stale_ms)
         })
     }
 
-    /// Instances whose reports count for the load of endpoints.
-    fn summed(&self, now: Mono) -> impl Iterator<Item = (&InstanceName, &Peer)> {
-        let stale_ms = if self.are_many(now) {
-            SUMMED_MS
+    /// Instances whose reports count towards the load of endpoints.
+    fn load_reporters(&self, now: Mono) -> impl Iterator<Item = (&InstanceName, &Peer)> {
+        let stale_ms = if self.is_large_fleet(now) {
+            LOAD_STALE_MS
         } else {
             STALE_MS
         };
         self.all
             .iter()
-            .filter(move |(_, peer)| peer.direct.is_some_and(|at| now.since(at) < stale_ms))
+            .filter(move |(_, peer)| peer.direct_at.is_some_and(|at| now.since(at) < stale_ms))
     }
 }
 
 impl Peer {
-    /// Takes what is newer than what was known; keeps since when it has been so.
-    fn see(&mut self, newer: PeerState) {
-        let unchanged = |sight: &&PeerState| {
-            sight.session == newer.session
-                && sight.stopping == newer.stopping
-                && sight.unfit == newer.unfit
+    /// Replaces the state of the instance; keeps the time since which it has been
+    /// unchanged.
+    fn update_state(&mut self, newer: PeerState) {
+        let unchanged = |state: &&PeerState| {
+            state.session == newer.session
+                && state.stopping == newer.stopping
+                && state.unfit == newer.unfit
         };
-        let known = self.sight.as_ref().filter(unchanged);
-        let since = known.map_or(newer.since, |sight| sight.since);
-        self.sight = Some(PeerState { since, ..newer });
+        let known = self.state.as_ref().filter(unchanged);
+        let since = known.map_or(newer.since, |state| state.since);
+        self.state = Some(PeerState { since, ..newer });
     }
 }
 
--- a/crates/citronway/src/gateway/control/placing.rs
+++ b/crates/citronway/src/gateway/control/placing.rs
@@ -1,4 +1,4 @@
-//! Looks at the load of keys and endpoints and has the leaders begin moves.
+//! Starts moves of keys between endpoints, by the load of keys and endpoints.
 
 use citronway_core::gateway::keyload::KeyLoads;
 use citronway_core::gateway::leader::Leader;
@@ -12,54 +12,55 @@
 
 use super::cluster::Cluster;
 
-/// Time between two looks at the placement, in milliseconds: as often as reports come.
-const PLACE_MS: u64 = 100;
+/// Time between two passes of the placement, in milliseconds: as often as reports come.
+const PLACE_INTERVAL_MS: u64 = 100;
 
-/// The same after moves have begun: these show in the queues first.
+/// Time to the next pass after moves have started, in milliseconds: their effect shows in
+/// the queues first.
 const AFTER_MOVES_MS: u64 = 300;
 
-/// Time in which samples of keys lose half of their weight, in milliseconds, where their
-/// load does not change: an endpoint that does seven requests a second has 60 in it.
+/// Half-life of the weight of key samples whose load is steady, in milliseconds: an
+/// endpoint that serves seven requests a second has 60 samples in it.
 const STEADY_HALF_LIFE_MS: f64 = 6_000.0;
 
-/// The same where it does: a hot range lasts a few seconds, and its callers queue until it
-/// is seen.
+/// Half-life of the weight of key samples whose load changes, in milliseconds: a hot range
+/// lasts a few seconds, and its callers queue until it is detected.
 const RECENT_HALF_LIFE_MS: f64 = 400.0;
 
-/// How long the first endpoint of a service is listed before its keys are divided,
-/// in milliseconds: others that start with it list themselves meanwhile.
-const FOUND_AFTER_MS: u64 = 1_200;
+/// Time from the listing of a service's first endpoint until its keys are divided, in
+/// milliseconds: endpoints that start at the same time list themselves meanwhile.
+const FIRST_DIVISION_AFTER_MS: u64 = 1_200;
 
-/// Time of work that is assumed until answers show it, in milliseconds.
-const FIRST_WORK_MS: f64 = 200.0;
+/// Service time that is assumed until answers show it, in milliseconds.
+const DEFAULT_WORK_MS: f64 = 200.0;
 
-/// Largest share of failures that an endpoint's capacity is reduced by; some of its
-/// requests still have to show whether it is well again.
-const MOST_FAILING: f64 = 0.9;
+/// Largest failure share by which an endpoint's capacity is reduced; some of its requests
+/// must still show whether it has recovered.
+const MAX_FAILURE_SHARE: f64 = 0.9;
 
-/// What the placement of all services rests on.
+/// Load of keys and service times on which the placement of all services is based.
 #[derive(Debug, Default)]
-pub(super) struct Placing {
+pub(super) struct Placer {
     loads: IndexMap<ServiceName, KeyLoads>,
     work_ms: IndexMap<ServiceName, f64>,
-    after: Mono,
+    next_at: Mono,
 }
 
-impl Placing {
-    /// Begins without knowledge of loads, as a new leader does.
-    pub(super) fn begin(&mut self) {
+impl Placer {
+    /// Clears all loads, as a new leader starts without them.
+    pub(super) fn reset(&mut self) {
         self.loads.clear();
     }
 
-    /// Takes the usual time of work at each service, in milliseconds.
-    pub(super) fn work_seen(&mut self, work_ms: &[(ServiceName, f64)]) {
+    /// Sets the typical service time of each service, in milliseconds.
+    pub(super) fn set_work_ms(&mut self, work_ms: &[(ServiceName, f64)]) {
         for (service, ms) in work_ms {
             self.work_ms.insert(service.clone(), *ms);
         }
     }
 
-    /// Takes the keys that an instance was asked for.
-    pub(super) fn traffic_seen(&mut self, now: Mono, report: &Report) {
+    /// Adds the sampled keys of an instance's report.
+    pub(super) fn record_traffic(&mut self, now: Mono, report: &Report) {
         for samples in &report.keys {
             let loads = self
                 .loads
@@ -71,21 +72,21 @@
         }
     }
 
-    /// Looks at all services, if it is time.
+    /// Runs a pass over all services, if it is due.
     pub(super) fn place(
         &mut self,
         now: Mono,
         cluster: &Cluster,
         leaders: &mut IndexMap<ServiceName, Leader>,
     ) {
-        if now < self.after {
+        if now < self.next_at {
             return;
         }
-        self.after = now.plus(PLACE_MS);
+        self.next_at = now.plus(PLACE_INTERVAL_MS);
         for (service, leader) in leaders {
             leader.forget_absent(&cluster.registry);
             if leader.row().ranges.is_empty() {
-                found(now, cluster, service, leader);
+                divide_first(now, cluster, service, leader);
             } else if !leader.is_cut_off(now) {
                 self.move_keys(now, cluster, service, leader);
             }
@@ -99,14 +100,18 @@
         service: &ServiceName,
         leader: &mut Leader,
     ) {
-        let work_ms = self.work_ms.get(service).copied().unwrap_or(FIRST_WORK_MS);
+        let work_ms = self
+            .work_ms
+            .get(service)
+            .copied()
+            .unwrap_or(DEFAULT_WORK_MS);
         let listed = cluster.registry.of_service(service);
         let waiting = cluster.waiting(now);
         let queues = |tag, slots| waiting.get(&tag).is_some_and(|count| *count > slots);
-        let places: Vec<_> = listed
+        let endpoints: Vec<_> = listed
             .map(|known| {
                 let queue = queues(EndpointTag::of(&known.listing.start), known.listing.slots);
-                place_of(now, cluster, leader, known, work_ms, queue)
+                placement_endpoint(now, cluster, leader, known, work_ms, queue)
             })
             .collect();
         let loads = self
@@ -114,21 +119,21 @@
             .entry(service.clone())
             .or_insert_with(|| new_loads(now));
         loads.decay(now);
-        let scene = PlacementInput {
+        let input = PlacementInput {
             row: leader.row(),
             load: loads,
-            endpoints: &places,
+            endpoints: &endpoints,
         };
-        let moves = placement::propose(&scene);
+        let moves = placement::propose(&input);
         if moves.is_empty() {
             return;
         }
-        self.after = now.plus(AFTER_MOVES_MS);
-        log::info!(service = service.as_str(), moves = moves.len(); "moves begin");
+        self.next_at = now.plus(AFTER_MOVES_MS);
+        log::info!(service = service.as_str(), moves = moves.len(); "key moves started");
         let left_out = leader.start_moves(&moves, &cluster.registry);
         if left_out > 0 {
             let ranges = leader.row().ranges.len();
-            log::warn!(service = service.as_str(), left_out, ranges; "the row has no room for moves");
+            log::warn!(service = service.as_str(), left_out, ranges; "assignment row has no room for all moves");
         }
     }
 }
@@ -138,10 +143,10 @@
 }
 
 /// Divides the keys of a service for the first time.
-fn found(now: Mono, cluster: &Cluster, service: &ServiceName, leader: &mut Leader) {
+fn divide_first(now: Mono, cluster: &Cluster, service: &ServiceName, leader: &mut Leader) {
     let listed: Vec<_> = cluster.registry.of_service(service).collect();
     let first = listed.iter().map(|known| known.first_seen).min();
-    if first.is_none_or(|at| now.since(at) < FOUND_AFTER_MS) {
+    if first.is_none_or(|at| now.since(at) < FIRST_DIVISION_AFTER_MS) {
         return;
     }
     let usable = listed.iter().filter(|known| known.accepts_work());
@@ -149,8 +154,8 @@
     leader.create_assignment(&usable);
 }
 
-/// An endpoint as the placement sees it.
-fn place_of(
+/// Describes an endpoint for the placement.
+fn placement_endpoint(
     now: Mono,
     cluster: &Cluster,
     leader: &Leader,
@@ -160,12 +165,12 @@
 ) -> PlacementEndpoint {
     let listing = &known.listing;
     let tag = EndpointTag::of(&listing.start);
-    let healthy = 1.0 - cluster.paces.failing(now, tag).min(MOST_FAILING);
+    let healthy = 1.0 - cluster.paces.failing(now, tag).min(MAX_FAILURE_SHARE);
     let lost = leader.is_lost(now, &listing.start);
-    let taken_ms = work_ms * cluster.paces.slowness(now, tag);
+    let expected_ms = work_ms * cluster.paces.slowness(now, tag);
     PlacementEndpoint {
         endpoint: listing.start.clone(),
-        capacity: f64::from(listing.slots) * 1_000.0 * healthy / taken_ms,
+        capacity: f64::from(listing.slots) * 1_000.0 * healthy / expected_ms,
         accepts_keys: known.accepts_work() && !lost && known.warm_at <= now,
         must_drain: lost || !known.accepts_work(),
         has_queue: queue,
--- a/crates/citronway/src/gateway/control/trials.rs
+++ b/crates/citronway/src/gateway/control/trials.rs
@@ -1,4 +1,4 @@
-//! Trials of work under suspicion: asked of the leader, and granted as the leader.
+//! Trials of suspect work: requested from the leader, and granted as the leader.
 
 use std::net::SocketAddr;
 
@@ -17,43 +17,44 @@
 use crate::clock;
 use crate::gateway::traffic::TrialEvent;
 
-/// Time between two datagrams of one request, in milliseconds: they are lost now and then.
+/// Time between two datagrams of one request, in milliseconds, since some are lost.
 pub(super) const RESEND_MS: u64 = 25;
 
-/// Time after which the leader's answer is no longer waited for, in milliseconds.
-const ANSWER_MS: u64 = 300;
+/// Time after which the leader's reply is no longer waited for, in milliseconds.
+const REPLY_TIMEOUT_MS: u64 = 300;
 
-/// Time without an answer of any leader after which an instance tries work in its turn, in
-/// milliseconds: longer than most changes of the leader.
-const ALONE_AFTER_MS: u64 = 2_000;
+/// Time without a reply of any leader after which an instance grants trials itself, at its
+/// place in the order of instances, in milliseconds: longer than most changes of the
+/// leader.
+const LEADERLESS_AFTER_MS: u64 = 2_000;
 
 /// A request that the leader has not answered yet.
 #[derive(Debug)]
-struct Asked {
+struct PendingRequest {
     req: TrialRequest,
     reply: oneshot::Sender<TrialGrant>,
     since: Mono,
     sent: Mono,
 }
 
-/// What this instance knows of trials.
+/// Trials that this instance requested or granted.
 #[derive(Debug, Default)]
-pub(super) struct TrialDuty {
+pub(super) struct TrialState {
     /// Trials of this instance's own traffic.
     own: Trials,
-    /// Those of all instances, while this one leads.
+    /// Trials of all instances, granted while this instance leads.
     granted: Trials,
-    /// Term in which it granted them.
+    /// Term in which `granted` were granted.
     term: u64,
-    asked: IndexMap<u64, Asked>,
-    /// Since when no leader has answered a request.
+    pending: IndexMap<u64, PendingRequest>,
+    /// Since when no leader has answered a request; `None` if the last one was answered.
     unanswered_since: Option<Mono>,
 }
 
-impl TrialDuty {
-    /// Whether an answer of the leader is waited for.
+impl TrialState {
+    /// Whether a reply of the leader is waited for.
     pub(super) fn is_waiting(&self) -> bool {
-        !self.asked.is_empty()
+        !self.pending.is_empty()
     }
 
     /// Trials that this instance grants as the leader of a term.
@@ -65,14 +66,14 @@
         &mut self.granted
     }
 
-    /// Whether no leader has answered for so long that none is waited for.
-    fn is_alone(&mut self, now: Mono) -> bool {
+    /// Whether no leader has answered for so long that trials are granted without one.
+    fn is_leaderless(&mut self, now: Mono) -> bool {
         let since = *self.unanswered_since.get_or_insert(now);
-        now.since(since) >= ALONE_AFTER_MS
+        now.since(since) >= LEADERLESS_AFTER_MS
     }
 
-    /// Notes crashes: what was cleared by an answer before is under suspicion again.
-    pub(super) fn crashes_seen(&mut self, signs: &[Sign]) {
+    /// Records crashes: work that an answer cleared before is suspect again.
+    pub(super) fn record_crashes(&mut self, signs: &[Sign]) {
         for sign in signs {
             let Sign::Crash { work, .. } = sign else {
                 continue;
@@ -82,30 +83,31 @@
         }
     }
 
-    fn settle(&mut self, now: Mono, asked: Asked, grant: TrialGrant) {
-        let TrialRequest { id, work, .. } = asked.req;
+    fn answer(&mut self, now: Mono, pending: PendingRequest, grant: TrialGrant) {
+        let TrialRequest { id, work, .. } = pending.req;
         if grant != TrialGrant::Granted {
             self.own.record_end(now, id, work, TrialEnd::Inconclusive);
         }
-        // The caller has left where nobody listens; then the trial ends by its own guard.
-        let _ = asked.reply.send(grant);
+        // If the caller has left, nobody receives this, and a guard on its side ends the
+        // trial.
+        let _ = pending.reply.send(grant);
     }
 }
 
 impl Control {
-    /// Takes what the traffic asks or tells of trials.
-    pub(super) fn trial_event(&mut self, socket: &UdpSocket, event: TrialEvent) {
+    /// Handles a request for a trial, or the end of one, from the traffic thread.
+    pub(super) fn on_trial_event(&mut self, socket: &UdpSocket, event: TrialEvent) {
         let now = clock::mono();
         match event {
-            TrialEvent::Request(ask) => {
-                let id = self.trial_id(ask.number);
+            TrialEvent::Request(query) => {
+                let id = self.trial_id(query.number);
                 let req = TrialRequest {
                     id,
-                    work: ask.work,
-                    expected_ms: ask.expected_ms,
-                    limit_ms: ask.limit_ms,
+                    work: query.work,
+                    expected_ms: query.expected_ms,
+                    limit_ms: query.limit_ms,
                 };
-                self.request_trial(now, socket, req, ask.reply);
+                self.request_trial(now, socket, req, query.reply);
             }
             TrialEvent::Ended { number, work, end } => {
                 let id = self.trial_id(number);
@@ -128,7 +130,7 @@
         req: TrialRequest,
         reply: oneshot::Sender<TrialGrant>,
     ) {
-        let asked = Asked {
+        let pending = PendingRequest {
             req,
             reply,
             since: now,
@@ -136,46 +138,47 @@
         };
         let grant = self.trials.own.request(now, &req);
         if grant != TrialGrant::Granted {
-            // Nothing was taken that would have to be given back.
-            let _ = asked.reply.send(grant);
+            // A grant that was refused need not be returned.
+            let _ = pending.reply.send(grant);
             return;
         }
-        if self.duty.in_office() {
+        if self.leadership.is_leader() {
             self.trials.unanswered_since = None;
             let grant = self.grant_trial(now, &req);
-            self.trials.settle(now, asked, grant);
+            self.trials.answer(now, pending, grant);
             return;
         }
-        let Some(leader) = self.answering_leader(now) else {
-            let grant = self.try_alone(now, req.work);
-            self.trials.settle(now, asked, grant);
+        let Some(leader) = self.reachable_leader(now) else {
+            let grant = self.grant_without_leader(now, req.work);
+            self.trials.answer(now, pending, grant);
             return;
         };
         self.send_trial(socket, &Datagram::TrialRequest(req), leader);
-        self.trials.asked.insert(req.id.number, asked);
+        self.trials.pending.insert(req.id.number, pending);
     }
 
-    /// As the leader, decides about a request of any instance.
+    /// As the leader, decides on a request of any instance.
     fn grant_trial(&mut self, now: Mono, req: &TrialRequest) -> TrialGrant {
-        let term = self.duty.term();
+        let term = self.leadership.term();
         let grant = self.trials.granted_in(now, term).request(now, req);
         log::debug!(work:% = req.work, session = req.id.session.0, grant:?; "trial requested");
         grant
     }
 
-    pub(super) fn answering_leader(&self, now: Mono) -> Option<SocketAddr> {
+    pub(super) fn reachable_leader(&self, now: Mono) -> Option<SocketAddr> {
         if !self.cluster.hears_leader(now) {
             return None;
         }
         self.cluster.leader_address()
     }
 
-    fn try_alone(&mut self, now: Mono, work: Fingerprint) -> TrialGrant {
+    fn grant_without_leader(&mut self, now: Mono, work: Fingerprint) -> TrialGrant {
         let known = self.cluster.crashes.known();
-        let heard = known.suspects.get(&work).copied().unwrap_or(now);
-        let place = self.place_among_peers(work);
-        let may_send = self.trials.is_alone(now) && may_try_without_leader(now, heard, place);
-        log::info!(work:%, may_send; "no leader answers about a trial");
+        let suspected_at = known.suspects.get(&work).copied().unwrap_or(now);
+        let position = self.position_among_peers(work);
+        let may_send =
+            self.trials.is_leaderless(now) && may_try_without_leader(now, suspected_at, position);
+        log::info!(work:%, may_send; "no leader answers a trial request");
         if may_send {
             TrialGrant::Granted
         } else {
@@ -185,14 +188,14 @@
         }
     }
 
-    fn place_among_peers(&self, work: Fingerprint) -> InstancePosition {
+    fn position_among_peers(&self, work: Fingerprint) -> InstancePosition {
         let order = |rank: u64| rank ^ work.0;
         let own = order(self.cluster.rank());
         let peers = self.cluster.peers.ranks();
         let before = peers.filter(|rank| order(*rank) < own).count();
         InstancePosition {
             before: before as u64,
-            total: self.cluster.peers.listed() as u64,
+            total: self.cluster.peers.listed_count() as u64,
         }
     }
 
@@ -200,41 +203,41 @@
         self.trials
             .own
             .record_end(now, ended.id, ended.work, ended.end);
-        self.trials.asked.swap_remove(&ended.id.number);
-        if self.duty.in_office() {
-            self.trial_ended(now, &ended);
+        self.trials.pending.swap_remove(&ended.id.number);
+        if self.leadership.is_leader() {
+            self.record_trial_end(now, &ended);
             return;
         }
-        if let Some(leader) = self.answering_leader(now) {
+        if let Some(leader) = self.reachable_leader(now) {
             self.send_trial(socket, &Datagram::TrialEnd(ended), leader);
         }
     }
 
-    /// As the leader, takes the end of a trial.
+    /// As the leader, records the end of a trial.
     ///
-    /// Failure guarded against: the next copy is granted before the crash that ended this one
-    /// is heard of by reports. So the end itself tells of the crash.
-    fn trial_ended(&mut self, now: Mono, ended: &EndedTrial) {
+    /// Failure guarded against: the next copy is granted before a report tells of the crash
+    /// that ended this trial. So the end of the trial itself carries the crash.
+    fn record_trial_end(&mut self, now: Mono, ended: &EndedTrial) {
         let EndedTrial { id, work, end } = *ended;
         if let TrialEnd::Crashed { endpoint } = end {
             let crash = Sign::Crash { work, endpoint };
-            self.cluster.crashes.crash_told(now, crash);
-            self.trials.crashes_seen(&[crash]);
+            self.cluster.crashes.record_crash(now, crash);
+            self.trials.record_crashes(&[crash]);
         }
-        let term = self.duty.term();
+        let term = self.leadership.term();
         self.trials
             .granted_in(now, term)
             .record_end(now, id, work, end);
     }
 
-    /// Takes a message about trials that came from an address.
-    pub(super) fn trial_requested(
+    /// Handles a request for a trial that came from an address.
+    pub(super) fn on_trial_request(
         &mut self,
         socket: &UdpSocket,
         req: &TrialRequest,
         from: SocketAddr,
     ) {
-        if !self.duty.in_office() {
+        if !self.leadership.is_leader() {
             return;
         }
         let grant = self.grant_trial(clock::mono(), req);
@@ -243,57 +246,59 @@
         self.send_trial(socket, &Datagram::TrialReply(reply), from);
     }
 
-    /// Takes the answer of the leader.
-    pub(super) fn trial_replied(&mut self, reply: &TrialReply) {
+    /// Handles the leader's reply to a request of this instance.
+    pub(super) fn on_trial_reply(&mut self, reply: &TrialReply) {
         if reply.id.session != self.me.id {
             return;
         }
-        let Some(asked) = self.trials.asked.swap_remove(&reply.id.number) else {
+        let Some(pending) = self.trials.pending.swap_remove(&reply.id.number) else {
             return;
         };
         let now = clock::mono();
         self.trials.unanswered_since = None;
         if reply.grant == TrialGrant::Cleared {
-            self.cluster.crashes.cleared(now, reply.work);
+            self.cluster.crashes.record_answer(now, reply.work);
         }
-        self.trials.settle(now, asked, reply.grant);
+        self.trials.answer(now, pending, reply.grant);
     }
 
-    /// Takes the end of another instance's trial.
-    pub(super) fn trial_end_came(&mut self, ended: &EndedTrial) {
-        if self.duty.in_office() {
-            self.trial_ended(clock::mono(), ended);
+    /// Handles the end of another instance's trial.
+    pub(super) fn on_trial_end(&mut self, ended: &EndedTrial) {
+        if self.leadership.is_leader() {
+            self.record_trial_end(clock::mono(), ended);
         }
     }
 
-    /// Asks again what is not answered, and decides without the leader what is not for long.
+    /// Sends unanswered requests again, and decides without the leader on those that timed
+    /// out.
     pub(super) fn step_trials(&mut self, socket: &UdpSocket) {
         let now = clock::mono();
-        if self.duty.in_office() {
-            // What a new leader waits for counts from its first moment, not from a request.
-            self.trials.granted_in(now, self.duty.term());
+        if self.leadership.is_leader() {
+            // A new leader's wait starts when it becomes the leader, not at the first
+            // request.
+            self.trials.granted_in(now, self.leadership.term());
         }
-        let late = |asked: &Asked| now.since(asked.since) >= ANSWER_MS;
+        let timed_out = |pending: &PendingRequest| now.since(pending.since) >= REPLY_TIMEOUT_MS;
         let unanswered: Vec<_> = self
             .trials
-            .asked
-            .extract_if(.., |_, asked| late(asked))
+            .pending
+            .extract_if(.., |_, pending| timed_out(pending))
             .collect();
-        for (_, asked) in unanswered {
-            let grant = self.try_alone(now, asked.req.work);
-            self.trials.settle(now, asked, grant);
+        for (_, pending) in unanswered {
+            let grant = self.grant_without_leader(now, pending.req.work);
+            self.trials.answer(now, pending, grant);
         }
         let Some(leader) = self.cluster.leader_address() else {
             return;
         };
-        let mut again = Vec::new();
-        for asked in self.trials.asked.values_mut() {
-            if now.since(asked.sent) >= RESEND_MS {
-                asked.sent = now;
-                again.push(asked.req);
+        let mut resend = Vec::new();
+        for pending in self.trials.pending.values_mut() {
+            if now.since(pending.sent) >= RESEND_MS {
+                pending.sent = now;
+                resend.push(pending.req);
             }
         }
-        for req in again {
+        for req in resend {
             self.send_trial(socket, &Datagram::TrialRequest(req), leader);
         }
     }
