--- a/crates/citronway-core/src/gateway/leader/holds.rs
+++ b/crates/citronway-core/src/gateway/leader/holds.rs
@@ -1,4 +1,4 @@
-//! Until when endpoints may hold what was granted to them.
+//! Record of sent grants, with the latest time until which each may be held.
 
 use indexmap::IndexMap;
 
@@ -6,47 +6,52 @@
 use crate::ids::EndpointStart;
 use crate::time::Mono;
 
-/// Every grant that was sent and may still hold.
+/// Grants that were sent and may still be held, by fence and keys.
 #[derive(Debug, Default)]
 pub(super) struct Holds {
-    sent: IndexMap<(u64, Span), Vec<Sent>>,
+    sent: IndexMap<(u64, Span), Vec<SentGrant>>,
 }
 
+/// A grant that was sent to an endpoint.
 #[derive(Debug)]
-struct Sent {
+struct SentGrant {
     endpoint: EndpointStart,
-    /// Latest end, counted from the latest arrival.
+    /// Latest end of the hold, counted from the latest arrival.
     end: Mono,
-    /// When the last grant was sent.
-    at: Mono,
-    /// Latest arrival of that call.
+    /// When the last call was sent.
+    sent_at: Mono,
+    /// Latest arrival of the last call.
     arrival: Mono,
-    /// A call is under way.
+    /// Whether a call awaits its answer.
     pending: bool,
-    /// The last call was answered with success.
-    answered: bool,
-    /// Until then a call may arrive that was not answered.
+    /// Whether the last call succeeded.
+    succeeded: bool,
+    /// Time until which an unanswered call may still arrive.
     may_arrive_until: Mono,
 }
 
-/// When a call can have an effect at the latest.
+/// Latest times at which a call can have an effect.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CallTimes {
-    /// Latest arrival.
+    /// Latest arrival of the call.
     pub arrival: Mono,
-    /// Latest end of the hold that it gives.
+    /// Latest end of the hold that the call grants.
     pub end: Mono,
 }
 
-/// What is known of one grant.
+/// Status of a sent grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Given {
-    pub at: Mono,
+pub(super) struct GrantStatus {
+    /// When the last call was sent.
+    pub sent_at: Mono,
+    /// Whether a call awaits its answer.
     pub pending: bool,
-    pub answered: bool,
+    /// Whether the last call succeeded.
+    pub succeeded: bool,
 }
 
 impl Holds {
+    /// Removes grants whose hold has ended and that await no answer.
     pub(super) fn prune(&mut self, now: Mono) {
         self.sent.retain(|_, all| {
             all.retain(|sent| sent.end > now || sent.pending);
@@ -54,7 +59,8 @@
         });
     }
 
-    pub(super) fn sent(
+    /// Records that a grant is sent.
+    pub(super) fn record_sent(
         &mut self,
         now: Mono,
         endpoint: &EndpointStart,
@@ -65,61 +71,81 @@
         let CallTimes { arrival, end } = times;
         if let Some(sent) = self.find(endpoint, span, fence) {
             sent.end = sent.end.max(end);
-            sent.at = now;
+            sent.sent_at = now;
             sent.pending = true;
             sent.arrival = arrival;
             return;
         }
-        self.sent.entry((fence, span)).or_default().push(Sent {
+        self.sent.entry((fence, span)).or_default().push(SentGrant {
             endpoint: endpoint.clone(),
             end,
-            at: now,
+            sent_at: now,
             pending: true,
-            answered: false,
+            succeeded: false,
             arrival,
             may_arrive_until: Mono::default(),
         });
     }
 
-    pub(super) fn answered(&mut self, endpoint: &EndpointStart, span: Span, fence: u64, ok: bool) {
+    /// Records the answer to a call.
+    pub(super) fn record_answer(
+        &mut self,
+        endpoint: &EndpointStart,
+        span: Span,
+        fence: u64,
+        ok: bool,
+    ) {
         if let Some(sent) = self.find(endpoint, span, fence) {
             sent.pending = false;
-            sent.answered = ok;
+            sent.succeeded = ok;
         }
     }
 
-    /// A call that was given up may still arrive.
-    pub(super) fn lost(&mut self, endpoint: &EndpointStart, span: Span, fence: u64) {
+    /// Records that a call got no answer. It may still arrive.
+    pub(super) fn record_lost(&mut self, endpoint: &EndpointStart, span: Span, fence: u64) {
         if let Some(sent) = self.find(endpoint, span, fence) {
             sent.pending = false;
-            sent.answered = false;
+            sent.succeeded = false;
             sent.may_arrive_until = sent.may_arrive_until.max(sent.arrival);
         }
     }
 
-    /// A grant whose call never left holds nothing that it did not hold before.
-    pub(super) fn not_sent(&mut self, endpoint: &EndpointStart, span: Span, fence: u64, end: Mono) {
+    /// Records that a call was not sent. Only earlier calls of the grant remain, whose hold
+    /// lasts no longer than `end`.
+    pub(super) fn record_unsent(
+        &mut self,
+        endpoint: &EndpointStart,
+        span: Span,
+        fence: u64,
+        end: Mono,
+    ) {
         if let Some(sent) = self.find(endpoint, span, fence) {
             sent.pending = false;
-            sent.answered = false;
+            sent.succeeded = false;
             sent.end = sent.end.min(end);
         }
     }
 
-    pub(super) fn get(&self, endpoint: &EndpointStart, span: Span, fence: u64) -> Option<Given> {
+    /// Status of a grant, or `None` if it was not sent.
+    pub(super) fn get(
+        &self,
+        endpoint: &EndpointStart,
+        span: Span,
+        fence: u64,
+    ) -> Option<GrantStatus> {
         let all = self.sent.get(&(fence, span))?;
         let sent = all.iter().find(|sent| sent.endpoint == *endpoint)?;
-        Some(Given {
-            at: sent.at,
+        Some(GrantStatus {
+            sent_at: sent.sent_at,
             pending: sent.pending,
-            answered: sent.answered,
+            succeeded: sent.succeeded,
         })
     }
 
-    /// Latest end of any grant at the endpoint that touches the span.
+    /// Latest end of any hold at the endpoint that overlaps the span; zero if there is none.
     pub(super) fn latest_end(&self, endpoint: &EndpointStart, span: Span) -> Mono {
-        let touching = self.sent.iter().filter(|((_, at), _)| at.overlaps(span));
-        touching
+        let overlapping = self.sent.iter().filter(|((_, at), _)| at.overlaps(span));
+        overlapping
             .flat_map(|(_, all)| all)
             .filter(|sent| sent.endpoint == *endpoint)
             .map(|sent| sent.end)
@@ -127,16 +153,16 @@
             .unwrap_or_default()
     }
 
-    /// Whether a grant at the endpoint that touches the span may still arrive.
+    /// Whether a grant at the endpoint that overlaps the span may still arrive.
     pub(super) fn may_arrive(&self, now: Mono, endpoint: &EndpointStart, span: Span) -> bool {
-        let touching = self.sent.iter().filter(|((_, at), _)| at.overlaps(span));
-        touching
+        let overlapping = self.sent.iter().filter(|((_, at), _)| at.overlaps(span));
+        overlapping
             .flat_map(|(_, all)| all)
             .filter(|sent| sent.endpoint == *endpoint)
             .any(|sent| sent.pending || now < sent.may_arrive_until)
     }
 
-    fn find(&mut self, endpoint: &EndpointStart, span: Span, fence: u64) -> Option<&mut Sent> {
+    fn find(&mut self, endpoint: &EndpointStart, span: Span, fence: u64) -> Option<&mut SentGrant> {
         let all = self.sent.get_mut(&(fence, span))?;
         all.iter_mut().find(|sent| sent.endpoint == *endpoint)
     }
--- a/crates/citronway-core/src/gateway/leader/mod.rs
+++ b/crates/citronway-core/src/gateway/leader/mod.rs
@@ -1,17 +1,19 @@
 //! The leader of a service: grants, renews and moves the ranges of its keys.
 //!
-//! Safety rests on four rules. Nothing is granted that the stored row does not say.
-//! The row is changed only while the leader's own row stands unchanged, so that two
-//! leaders never both change it. A range leaves its holder only after the holder has
-//! confirmed a higher fence and a release, or after the end of every hold that any
-//! leader may have given it. A leader that has not heard the store confirm it for
-//! [`LeaderSettings::contact_limit_ms`] sends no more grants, which bounds what an
-//! earlier leader may still have given.
+//! Safety rests on four rules:
 //!
-//! An endpoint that starts again forgets the fences that it confirmed. So a leader grants on
-//! a new connection only within [`LeaderSettings::connect_limit_ms`] of its last
-//! confirmation, and its successor seals nothing for as long: the connections of an earlier
-//! leader then reach only starts that see the seal.
+//! - A grant is sent only for keys that the stored row assigns to the endpoint.
+//! - The row is changed only on condition that the leader's own row is unchanged, so that two
+//!   leaders never both change it.
+//! - A range is taken from its holder only after the holder has confirmed a higher fence and a
+//!   release, or after the end of every hold that any leader may have granted it.
+//! - A leader that the store has not confirmed for [`LeaderSettings::contact_limit_ms`] sends
+//!   no more grants, which bounds the holds that an earlier leader may have granted.
+//!
+//! An endpoint that restarts loses the fences that it confirmed. Therefore a leader sends grants
+//! on a new connection only within [`LeaderSettings::connect_limit_ms`] of its last
+//! confirmation, and its successor sends no seal for as long: connections of the earlier
+//! leader then reach only starts that receive the seal.
 
 mod holds;
 mod moves;
@@ -33,16 +35,16 @@
 pub use orders::{Action, Order, OrderKind, OrderResult, Span, WriteResult};
 pub use settings::{LeaderSettings, PredecessorLimits};
 
-/// Ranges of a row that make the time between two writes of it a millisecond longer: 70 ms
-/// at 500 ranges.
-const RANGES_A_MS: u64 = 8;
+/// Number of ranges for which the minimum interval between two writes of the row grows by
+/// 1 ms: 500 ranges add 62 ms.
+const RANGES_PER_MS: u64 = 8;
 
-/// Keys that are to go to another endpoint.
+/// A request to move keys to another endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Move {
-    /// Keys; they lie in one range of the assignment.
+    /// Keys to move; they lie in one range of the assignment.
     pub span: Span,
-    /// Endpoint that gets them.
+    /// Endpoint that receives them.
     pub to: EndpointStart,
 }
 
@@ -53,44 +55,45 @@
     service: ServiceName,
     row: Assignment,
     version: Version,
-    /// While this instance is the leader.
-    tenure: Option<Tenure>,
-    /// A write is under way.
+    /// `None` while this instance does not lead the service.
+    term: Option<Term>,
+    /// Whether a write awaits its result.
     writing: bool,
-    /// No write before; set after one whose outcome is unknown.
+    /// Earliest time of the next write.
     write_after: Mono,
-    /// What is left of taking over the moves of an earlier leader.
+    /// Progress of taking over the moves of an earlier leader.
     takeover: Takeover,
-    /// Set while a new assignment waits to be written.
+    /// New assignment that has not been written yet.
     wanted: Option<Assignment>,
     holds: Holds,
     moves: IndexMap<u64, MoveState>,
     reach: Reach,
-    /// Proofs of a finished move, by the fence of the new owner.
+    /// Handover proofs of finished moves, by the fence of the new owner.
     handovers: IndexMap<u64, String>,
 }
 
-/// How far the moves of an earlier leader have got new fences.
+/// Progress in giving new fences to the moves of an earlier leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Takeover {
-    /// In office since a moment ago.
+    /// The term has begun and no step has run yet.
     Begins,
-    /// Moves with a fence below this one are an earlier leader's.
+    /// Moves with a fence below this one belong to an earlier leader.
     Above(u64),
-    /// None is left.
+    /// No move of an earlier leader is left.
     Done,
 }
 
+/// A term of leadership.
 #[derive(Debug, Clone, Copy)]
-struct Tenure {
-    /// Start of the newest call that confirmed it.
+struct Term {
+    /// When the latest call by which the store confirmed the leader was sent.
     contact: Mono,
-    /// What earlier leaders may still do.
-    rivals: PredecessorLimits,
+    /// Limits on the effects of earlier leaders.
+    predecessors: PredecessorLimits,
 }
 
 impl Leader {
-    /// A leader that is not in office and knows no row.
+    /// Creates a leader that has no term and knows no row.
     #[must_use]
     pub fn new(cfg: LeaderSettings, service: ServiceName) -> Self {
         Self {
@@ -98,7 +101,7 @@
             service,
             row: Assignment::default(),
             version: Version(0),
-            tenure: None,
+            term: None,
             writing: false,
             write_after: Mono(0),
             takeover: Takeover::Done,
@@ -110,11 +113,14 @@
         }
     }
 
-    /// Takes office after the row has been read again.
+    /// Begins a term. The row must have been read since the election.
     ///
-    /// `contact` is when the confirming call was sent.
-    pub fn begin_term(&mut self, contact: Mono, rivals: PredecessorLimits) {
-        self.tenure = Some(Tenure { contact, rivals });
+    /// `contact` is when the call that confirmed the leader was sent.
+    pub fn begin_term(&mut self, contact: Mono, predecessors: PredecessorLimits) {
+        self.term = Some(Term {
+            contact,
+            predecessors,
+        });
         self.writing = false;
         self.takeover = Takeover::Begins;
         self.wanted = None;
@@ -124,40 +130,40 @@
         self.handovers.clear();
     }
 
-    /// Leaves office at once.
+    /// Ends the term at once.
     pub fn end_term(&mut self) {
-        self.tenure = None;
+        self.term = None;
     }
 
     /// Whether this instance leads the service.
     #[must_use]
     pub const fn is_leading(&self) -> bool {
-        self.tenure.is_some()
+        self.term.is_some()
     }
 
-    /// Notes that the store confirmed the leader by a call sent at `at`.
+    /// Records that the store confirmed the leader in a call that was sent at `at`.
     pub fn confirm(&mut self, at: Mono) {
-        if let Some(tenure) = &mut self.tenure {
-            tenure.contact = tenure.contact.max(at);
+        if let Some(term) = &mut self.term {
+            term.contact = term.contact.max(at);
         }
     }
 
-    /// Learns that the earlier leader stopped at `at`.
+    /// Tightens the limits on an earlier leader that is known to have stopped at `at`.
     pub fn predecessor_stopped(&mut self, at: Mono) {
         let left = self.cfg.stopped_predecessor_limits(at);
-        if let Some(tenure) = &mut self.tenure {
-            tenure.rivals = tenure.rivals.min(left);
+        if let Some(term) = &mut self.term {
+            term.predecessors = term.predecessors.min(left);
         }
     }
 
-    /// Takes the row as it stands in the store; older versions are ignored.
+    /// Updates the row to its stored state; older versions are ignored.
     pub fn update_row(&mut self, row: Assignment, version: Version) {
         if version < self.version {
             return;
         }
-        // Failure: a write whose answer was lost lands after new moves were drawn up
-        // from the row before it; written on top, they give a range back to an owner
-        // that has let go of it, and both hold it.
+        // Failure: a write whose answer was lost takes effect after new moves were planned on
+        // the row before it. Written over it, they return a range to an owner that has
+        // released it, and two endpoints hold the range.
         if version > self.version {
             self.wanted = None;
         }
@@ -173,53 +179,55 @@
         self.moves.retain(|fence, _| fences.contains(fence));
     }
 
-    /// The newest row that is known.
+    /// Newest known row.
     #[must_use]
     pub const fn row(&self) -> &Assignment {
         &self.row
     }
 
-    /// Version of the newest row that is known.
+    /// Version of the newest known row.
     #[must_use]
     pub const fn version(&self) -> Version {
         self.version
     }
 
-    /// Whether the endpoint answered no order for as long as counts as lost.
+    /// Whether the endpoint counts as lost, because its orders have failed for
+    /// [`LeaderSettings::lost_after_ms`].
     #[must_use]
     pub fn is_lost(&self, now: Mono, endpoint: &EndpointStart) -> bool {
         self.reach.is_lost(&self.cfg, now, endpoint)
     }
 
-    /// Whether so few endpoints answer that this instance must be cut off itself.
+    /// Whether so many endpoints count as lost that this instance is probably cut off itself.
     #[must_use]
     pub fn is_cut_off(&self, now: Mono) -> bool {
         self.reach.is_cut_off(&self.cfg, now)
     }
 
-    /// Starts moves; those that do not fit the row as it stands are left out, and so are the
-    /// last ones where the store would not take the row. Returns how many were left out for
-    /// that.
+    /// Starts moves, except those that do not apply to the current row.
+    ///
+    /// Leaves out as many moves at the end of the list as needed to keep the row within the
+    /// size limit of the store, and returns their number.
     pub fn start_moves(&mut self, moves: &[Move], registry: &Registry) -> usize {
-        if self.writing || self.wanted.is_some() || self.tenure.is_none() {
+        if self.writing || self.wanted.is_some() || self.term.is_none() {
             return 0;
         }
-        let mut begun = moves.len();
-        while begun > 0 && !self.start_first(&moves[..begun], registry) {
-            begun /= 2;
+        let mut count = moves.len();
+        while count > 0 && !self.try_start_moves(&moves[..count], registry) {
+            count /= 2;
         }
-        moves.len() - begun
+        moves.len() - count
     }
 
-    /// Starts moves if the store takes the row with them.
-    fn start_first(&mut self, moves: &[Move], registry: &Registry) -> bool {
+    /// Starts moves, or returns false if they would make the row too long for the store.
+    fn try_start_moves(&mut self, moves: &[Move], registry: &Registry) -> bool {
         let mut row = self.row.clone();
         let mut changed = false;
-        for wish in moves {
-            let Some(known) = registry.get(&wish.to) else {
+        for request in moves {
+            let Some(known) = registry.get(&request.to) else {
                 continue;
             };
-            changed |= moves::begin(&mut row, wish.span, &known.listing);
+            changed |= moves::begin_move(&mut row, request.span, &known.listing);
         }
         if changed && !row.fits_in_store() {
             return false;
@@ -230,9 +238,9 @@
         true
     }
 
-    /// Divides all keys evenly by slots among `endpoints`, where no row exists yet.
+    /// Divides all keys among `endpoints` in proportion to their slots, if no row exists yet.
     pub fn create_assignment(&mut self, endpoints: &[&crate::gateway::registry::Listing]) {
-        let idle = !self.writing && self.wanted.is_none() && self.tenure.is_some();
+        let idle = !self.writing && self.wanted.is_none() && self.term.is_some();
         if !idle || !self.row.ranges.is_empty() || endpoints.is_empty() {
             return;
         }
@@ -268,42 +276,42 @@
         self.wanted = Some(row);
     }
 
-    /// What is due now.
+    /// Returns the orders and writes that are due.
     pub fn step(&mut self, now: Mono, registry: &Registry) -> Vec<Action> {
-        let Some(tenure) = self.tenure else {
+        let Some(term) = self.term else {
             return Vec::new();
         };
         self.holds.prune(now);
         let mut actions = Vec::new();
-        // Failure: a leader that was replaced while it could not reach the store goes
-        // on renewing, and two endpoints hold the same keys. Its successor counts on
-        // this limit before it gives the keys of a silent endpoint to another.
-        if now.since(tenure.contact) < self.cfg.contact_limit_ms {
-            self.renew(now, tenure, registry, &mut actions);
+        // Failure: a leader that was replaced while it could not reach the store continues
+        // to renew grants, and two endpoints hold the same keys. Its successor relies on
+        // this limit before it reassigns the keys of an unresponsive endpoint.
+        if now.since(term.contact) < self.cfg.contact_limit_ms {
+            self.renew(now, term, registry, &mut actions);
         }
         if self.takeover != Takeover::Done {
-            self.take_over(now, &mut actions);
+            self.take_over_moves(now, &mut actions);
             return actions;
         }
-        if now.since(tenure.contact) < self.cfg.contact_limit_ms {
-            self.advance_moves(now, tenure, &mut actions);
+        if now.since(term.contact) < self.cfg.contact_limit_ms {
+            self.advance_moves(now, term, &mut actions);
         }
         self.write(now, &mut actions);
         actions
     }
 
-    /// Takes the outcome of the write that is under way.
+    /// Handles the result of the pending write.
     pub fn handle_write_result(&mut self, now: Mono, result: WriteResult) {
         self.writing = false;
         match result {
             WriteResult::Done(row, version) => {
-                // Load: long rows are those of large services, in which moves end all the
-                // time; each write is a call and an answered poll, and is told to all.
-                let gap_ms = self.cfg.write_gap_ms + row.ranges.len() as u64 / RANGES_A_MS;
+                // Load: a long row belongs to a large service, in which moves end all the
+                // time. Each write costs a call, answers a poll and is sent to all instances.
+                let gap_ms = self.cfg.write_gap_ms + row.ranges.len() as u64 / RANGES_PER_MS;
                 self.write_after = now.plus(gap_ms);
                 self.update_row(row, version);
             }
-            // The row that stands arrives by the feed or with the conflict.
+            // The stored row arrives by the feed or with the conflict.
             WriteResult::Conflict => self.write_after = now.plus(self.cfg.retry_ms),
             WriteResult::Unknown | WriteResult::NotDone => {
                 self.write_after = now.plus(2 * self.cfg.retry_ms);
@@ -311,12 +319,12 @@
         }
     }
 
-    /// Gives the moves of an earlier leader new fences.
+    /// Gives new fences to the moves of an earlier leader.
     ///
-    /// Failure: the earlier leader is slow or cut off and still seals a holder, after
-    /// this one has released it and the next owner holds the keys. Its seals are below
-    /// the new fences and the holder refuses them.
-    fn take_over(&mut self, now: Mono, actions: &mut Vec<Action>) {
+    /// Failure: the earlier leader is slow or cut off and seals a holder after this leader has
+    /// released it and the next owner holds the keys. With new fences the holder refuses those
+    /// seals, whose fences are lower.
+    fn take_over_moves(&mut self, now: Mono, actions: &mut Vec<Action>) {
         let floor = match self.takeover {
             Takeover::Done => return,
             Takeover::Begins => self.row.next_fence,
@@ -362,18 +370,18 @@
         }
         let mut row = self.wanted.take().unwrap_or_else(|| self.row.clone());
         for range in &mut row.ranges {
-            self.settle(range);
+            self.complete_move(range);
         }
         row.merge();
-        self.join(&mut row);
+        self.join_neighbours(&mut row);
         if row == self.row {
             return;
         }
         self.push_write(row, actions);
     }
 
-    /// Gives a range to its next owner once its holder is known to have let go.
-    fn settle(&mut self, range: &mut Range) {
+    /// Completes a move once the old holder is known to hold the range no more.
+    fn complete_move(&mut self, range: &mut Range) {
         let Some(next) = &range.next else { return };
         let Some(state) = self.moves.get(&next.fence) else {
             return;
--- a/crates/citronway-core/src/gateway/leader/moves.rs
+++ b/crates/citronway-core/src/gateway/leader/moves.rs
@@ -1,42 +1,42 @@
-//! A range on its way from its holder to the next owner.
+//! Moves of key ranges: seal and release at the old holder, then the grant to the next owner.
 
 use crate::gateway::assignment::{self, Assignment, FENCES_PER_MOVE, Holder, MAX_RANGES, Range};
-use crate::gateway::leader::holds::Given;
+use crate::gateway::leader::holds::GrantStatus;
 use crate::gateway::leader::orders::{Action, Order, OrderKind, OrderResult, Span};
-use crate::gateway::leader::{Leader, LeaderSettings, Tenure};
+use crate::gateway::leader::{Leader, LeaderSettings, Term};
 use crate::gateway::registry::{Listing, Registry};
 use crate::time::Mono;
 
-/// Seals that are tried before a holder's time is waited for instead.
+/// Most seals that are sent before the end of the hold is awaited instead.
 const MAX_SEALS: u64 = FENCES_PER_MOVE - 1;
 
-/// Time between two looks at a move that waits, in milliseconds: what it waits for takes
-/// 0.25 s (another try) or seconds (the end of a hold).
-const LOOK_MS: u64 = 100;
+/// Interval between two checks of a move that waits, in milliseconds. The move waits for a
+/// retry, which takes 0.25 s, or for the end of a hold, which takes seconds.
+const CHECK_INTERVAL_MS: u64 = 100;
 
-/// How far the holder of a moving range has let go.
+/// Progress of a move.
 #[derive(Debug, Default)]
 pub(super) struct MoveState {
-    /// Seals sent so far; each has a fence of its own.
+    /// Number of seals sent so far; each has a fence of its own.
     seals: u64,
-    /// The seal or release under way was not answered yet.
+    /// Whether a seal or release awaits its answer.
     pending: bool,
-    /// The newest seal was confirmed.
+    /// Whether the holder has confirmed the latest seal.
     sealed: bool,
-    /// No order before.
+    /// Earliest time of the next order.
     order_after: Mono,
-    /// Nothing new before.
-    look_after: Mono,
-    /// Set once the holder is known to hold nothing.
+    /// Earliest time of the next check.
+    check_after: Mono,
+    /// How the holder gave up the range; `None` while it may still hold it.
     freed: Option<Freed>,
 }
 
-/// How a holder was found to hold nothing.
+/// How a holder is known to hold a range no more.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Freed {
-    /// It answered a release; the proof is for the next owner.
+    /// It answered a release, with a handover proof for the next owner if it has one.
     Released(Option<String>),
-    /// Its time has run out or its process has ended.
+    /// Its hold or its process has ended.
     Lapsed,
 }
 
@@ -45,23 +45,26 @@
         self.freed.as_ref()
     }
 
-    /// Fence of the seal that was sent last, below the next owner's.
+    /// Fence of the latest seal, which is below the next owner's fence.
     fn seal_fence(&self, next: &Holder) -> u64 {
         next.fence - FENCES_PER_MOVE + self.seals
     }
 }
 
-/// Most ranges of a row, by its endpoints.
+/// Most ranges of a row, by the number of its endpoints.
 fn max_ranges(row: &Assignment) -> usize {
     if row.ranges.len() < MAX_RANGES {
-        // No row has to have fewer.
+        // The limit is at least this for any number of endpoints.
         return MAX_RANGES;
     }
     assignment::max_ranges(row.holder_count())
 }
 
-/// Cuts the span out of its range and starts its move; false if it does not fit.
-pub(super) fn begin(row: &mut Assignment, span: Span, to: &Listing) -> bool {
+/// Splits the span off its range and starts its move.
+///
+/// Returns false if no single range contains the span, if `to` owns it already or if the row
+/// has no room for more ranges.
+pub(super) fn begin_move(row: &mut Assignment, span: Span, to: &Listing) -> bool {
     let Some(i) = row
         .ranges
         .iter()
@@ -77,11 +80,11 @@
             .endpoint
             .clone()
     };
-    // Failure: a row that is full of small ranges took no move at all, and keys of
-    // endpoints that had ended were served by nobody. Whole ranges need no room.
-    let cuts =
+    // Failure: a row that is full of small ranges accepts no move, and the keys of endpoints
+    // that have ended are served by nobody. A move of a whole range needs no room.
+    let splits =
         usize::from(row.ranges[i].first < span.first) + usize::from(span.last < row.ranges[i].last);
-    let has_room = cuts == 0 || row.ranges.len() + cuts <= max_ranges(row);
+    let has_room = splits == 0 || row.ranges.len() + splits <= max_ranges(row);
     if target(&row.ranges[i]) == to.start || !has_room {
         return false;
     }
@@ -93,7 +96,7 @@
     let old = row.ranges.remove(i);
     let mut at = i;
     if old.first < span.first {
-        let before = rest(row, &old, old.first, span.first - 1);
+        let before = remainder(row, &old, old.first, span.first - 1);
         row.ranges.insert(at, before);
         at += 1;
     }
@@ -105,17 +108,18 @@
     };
     row.ranges.insert(at, moving);
     if span.last < old.last {
-        let after = rest(row, &old, span.last + 1, old.last);
+        let after = remainder(row, &old, span.last + 1, old.last);
         row.ranges.insert(at + 1, after);
     }
     true
 }
 
-/// What is left of a range from which keys were cut out.
+/// Remainder of a range that keys were split off from.
 ///
-/// Failure guarded against: two rests of a range on its way go on under the fence of its
-/// move; the holder lets go of one of them, and both are given to the next owner.
-fn rest(row: &mut Assignment, old: &Range, first: u16, last: u16) -> Range {
+/// Failure guarded against: both remainders of a moving range keep the fence of its move; the
+/// holder releases one of them, and both are given to the next owner. So each remainder gets a
+/// fence of its own.
+fn remainder(row: &mut Assignment, old: &Range, first: u16, last: u16) -> Range {
     let next = old.next.as_ref().map(|next| Holder {
         fence: row.allocate_fences(FENCES_PER_MOVE),
         ..next.clone()
@@ -129,7 +133,7 @@
 }
 
 impl Assignment {
-    /// Joins neighbours that were cut from one grant and need not be apart.
+    /// Merges neighbouring ranges of the same grant that do not move.
     pub(super) fn merge(&mut self) {
         self.ranges.dedup_by(|right, left| {
             let same = left.holder == right.holder && left.next.is_none() && right.next.is_none();
@@ -142,12 +146,12 @@
 }
 
 impl Leader {
-    /// Joins neighbours of one holder under a new fence, which needs no release: the
-    /// holder has all of their keys, and nobody else gets any.
+    /// Joins neighbouring ranges of one holder under a new fence. This needs no release, since
+    /// the holder keeps all of the keys.
     ///
-    /// Load: each hot range leaves dozens of cuts behind, and after some minutes the row
-    /// is as long as the store takes.
-    pub(super) fn join(&self, row: &mut Assignment) {
+    /// Load: each hot range leaves dozens of splits behind, and after some minutes the row
+    /// reaches the size limit of the store.
+    pub(super) fn join_neighbours(&self, row: &mut Assignment) {
         let mut i = 1;
         while i < row.ranges.len() {
             let (left, right) = (&row.ranges[i - 1], &row.ranges[i]);
@@ -159,7 +163,7 @@
             row.ranges.remove(i);
             row.ranges[i - 1].last = last;
             row.ranges[i - 1].holder.fence = fence;
-            // The joined range has not been granted yet.
+            // The joined range has no grant yet, so it cannot be joined with the next one.
             i += 1;
         }
     }
@@ -167,34 +171,35 @@
     fn can_join(&self, left: &Range, right: &Range) -> bool {
         let same = left.holder.endpoint == right.holder.endpoint
             && left.holder.address == right.holder.address;
-        // The proof of a move goes with the first grant of its fence.
+        // The handover proof of a move is sent with the first grant of its fence, and a new
+        // fence would lose it.
         let granted = |range: &Range| {
             let holder = &range.holder;
-            let given = self.holds.get(&holder.endpoint, range.span(), holder.fence);
-            given.is_some_and(|given| given.answered && !given.pending)
+            let status = self.holds.get(&holder.endpoint, range.span(), holder.fence);
+            status.is_some_and(|status| status.succeeded && !status.pending)
                 && !self.handovers.contains_key(&holder.fence)
         };
         same && !left.is_moving() && !right.is_moving() && granted(left) && granted(right)
     }
 
-    /// Renews what the row gives and grants what is new.
+    /// Renews grants that are due and sends new ones.
     pub(super) fn renew(
         &mut self,
         now: Mono,
-        tenure: Tenure,
+        term: Term,
         registry: &Registry,
         actions: &mut Vec<Action>,
     ) {
-        let connect_by = self.connect_by(tenure);
+        let connect_by = self.connect_by(term);
         for range in &self.row.ranges {
             if range.is_moving() || self.reach.is_lost(&self.cfg, now, &range.holder.endpoint) {
                 continue;
             }
             let span = range.span();
-            let given = self
+            let status = self
                 .holds
                 .get(&range.holder.endpoint, span, range.holder.fence);
-            if !is_due(&self.cfg, now, given) {
+            if !is_due(&self.cfg, now, status) {
                 continue;
             }
             if self.reach.backs_off(&self.cfg, now, &range.holder.endpoint) {
@@ -210,21 +215,21 @@
             let times = self.cfg.call_times(now);
             let holder = &range.holder;
             self.holds
-                .sent(now, &holder.endpoint, span, holder.fence, times);
+                .record_sent(now, &holder.endpoint, span, holder.fence, times);
             let mut order = order(self, now, span, holder, holder.fence, kind);
             order.connect_by = order.connect_by.min(connect_by);
             actions.push(Action::Order(order));
         }
     }
 
-    /// When a connection must have been made at the latest that is to carry a grant.
-    const fn connect_by(&self, tenure: Tenure) -> Mono {
-        tenure.contact.plus(self.cfg.connect_limit_ms)
+    /// Latest time at which a connection that carries a grant may have been opened.
+    const fn connect_by(&self, term: Term) -> Mono {
+        term.contact.plus(self.cfg.connect_limit_ms)
     }
 
-    /// Takes each moving range one step further.
-    pub(super) fn advance_moves(&mut self, now: Mono, tenure: Tenure, actions: &mut Vec<Action>) {
-        let connect_by = self.connect_by(tenure);
+    /// Advances each moving range by one step.
+    pub(super) fn advance_moves(&mut self, now: Mono, term: Term, actions: &mut Vec<Action>) {
+        let connect_by = self.connect_by(term);
         let moving: Vec<_> = self
             .row
             .ranges
@@ -235,25 +240,25 @@
         for range in moving {
             let Some(next) = &range.next else { continue };
             let state = self.moves.entry(next.fence).or_default();
-            if state.freed.is_some() || now < state.look_after {
+            if state.freed.is_some() || now < state.check_after {
                 continue;
             }
-            // Load: with hundreds of moves under way a look at each of them in each step
-            // took more time than the leader has.
-            state.look_after = now.plus(LOOK_MS);
+            // Load: with hundreds of pending moves, a check of each of them in each step takes
+            // more time than the leader has.
+            state.check_after = now.plus(CHECK_INTERVAL_MS);
             let span = range.span();
             let holder = &range.holder;
-            // Failure: another start has the holder's address, and a renewal that was meant
-            // for the first has reached it; one that does not look whom an order names
-            // holds the keys. So a start that was replaced is sealed and released like
-            // any other: the one that listens now refuses the order, or lets go.
+            // Failure: another start listens on the holder's address, and a renewal addressed to
+            // the earlier start has reached it. If it does not check the addressee, it holds
+            // the keys. So a replaced start is sealed and released like any other: the
+            // process that listens now refuses the order or releases the keys.
             if state.pending {
                 continue;
             }
             let latest = self
                 .holds
                 .latest_end(&holder.endpoint, span)
-                .max(tenure.rivals.hold_until);
+                .max(term.predecessors.hold_until);
             if now > latest {
                 state.freed = Some(Freed::Lapsed);
                 continue;
@@ -263,22 +268,21 @@
             if now < state.order_after || wait {
                 continue;
             }
-            // A release extends no hold and may be tried for as long as it takes. A
-            // seal does: after the last one the holder's time is waited for.
+            // A release does not extend the hold and is retried without limit. A seal extends
+            // it, so after the last seal the end of the hold is awaited.
             let kind = if state.sealed {
                 OrderKind::Release
             } else if state.seals < MAX_SEALS && !lost {
-                // Failure: the holder confirms the seal, starts again under its name and
-                // forgets it; a renewal of before that was not answered arrives, and it
-                // holds keys that the next owner has by then. So a seal counts only if
-                // all that was sent before it has arrived: what a start has received
-                // ends with it.
+                // Failure: the holder confirms the seal, restarts under its name and loses the
+                // fence. An earlier, unanswered renewal then arrives, and it holds keys that
+                // the next owner holds by then. So a seal is sent only when no earlier grant
+                // can still arrive: what a start has received ends with it.
                 if self.holds.may_arrive(now, &holder.endpoint, span) {
                     continue;
                 }
-                // Failure: the same, and the renewal comes from an earlier leader that does
-                // not know of this one.
-                if now < tenure.rivals.connect_until {
+                // Failure: the holder restarts after the seal and loses the fence, and the
+                // renewal comes from an earlier leader that does not know of this one.
+                if now < term.predecessors.connect_until {
                     continue;
                 }
                 state.seals += 1;
@@ -294,67 +298,70 @@
             if matches!(order.kind, OrderKind::Seal { .. }) {
                 order.connect_by = order.connect_by.min(connect_by);
                 let times = self.cfg.call_times(now);
-                self.holds.sent(now, &holder.endpoint, span, fence, times);
+                self.holds
+                    .record_sent(now, &holder.endpoint, span, fence, times);
             }
             actions.push(Action::Order(order));
         }
     }
 
-    /// Takes what came of an order.
+    /// Handles the result of an order.
     pub fn answered(&mut self, now: Mono, order: &Order, result: &OrderResult) {
         match result {
             OrderResult::Done { .. } | OrderResult::Stale | OrderResult::NotThere => {
                 self.reach.answered(&order.endpoint);
             }
-            // Failure: a leader with too much to do begins its orders too late, takes the
-            // endpoints for lost, and has even more to do by moving their keys.
+            // Failure: an overloaded leader sends its orders too late, considers the endpoints
+            // lost, and adds to its load by moving their keys.
             OrderResult::TooLate | OrderResult::NotConnected => {}
             OrderResult::NotSent | OrderResult::Lost => {
-                // A release takes as long as the work that it waits for.
+                // A release without an answer is no failure: it waits for the end of the work.
                 if order.kind != OrderKind::Release || *result == OrderResult::NotSent {
                     self.reach.failed(now, &order.endpoint);
                 }
             }
         }
         match &order.kind {
-            OrderKind::Grant { .. } => self.grant_answered(now, order, result),
-            OrderKind::Seal { .. } | OrderKind::Release => self.move_answered(now, order, result),
+            OrderKind::Grant { .. } => self.handle_grant_result(now, order, result),
+            OrderKind::Seal { .. } | OrderKind::Release => {
+                self.handle_move_result(now, order, result)
+            }
         }
     }
 
-    fn grant_answered(&mut self, now: Mono, order: &Order, result: &OrderResult) {
+    fn handle_grant_result(&mut self, now: Mono, order: &Order, result: &OrderResult) {
         let ok = matches!(result, OrderResult::Done { .. });
         if result.is_unsent() {
-            // The order before it was given up by now and may still arrive.
+            // The previous order has been abandoned by now and may still arrive.
             let end = self.cfg.latest_hold_end(now.plus(self.cfg.late_arrival_ms));
             self.holds
-                .not_sent(&order.endpoint, order.span, order.fence, end);
+                .record_unsent(&order.endpoint, order.span, order.fence, end);
         } else {
-            self.hold_answered(order, result);
+            self.record_hold_result(order, result);
         }
         if ok {
             self.handovers.swap_remove(&order.fence);
         }
     }
 
-    /// Takes what came of a call that gives a hold.
-    fn hold_answered(&mut self, order: &Order, result: &OrderResult) {
+    /// Records the result of a call that grants a hold.
+    fn record_hold_result(&mut self, order: &Order, result: &OrderResult) {
         let (endpoint, span, fence) = (&order.endpoint, order.span, order.fence);
         match result {
-            OrderResult::Lost => self.holds.lost(endpoint, span, fence),
-            OrderResult::Done { .. } => self.holds.answered(endpoint, span, fence, true),
+            OrderResult::Lost => self.holds.record_lost(endpoint, span, fence),
+            OrderResult::Done { .. } => self.holds.record_answer(endpoint, span, fence, true),
             OrderResult::Stale
             | OrderResult::NotThere
             | OrderResult::NotSent
             | OrderResult::TooLate
-            | OrderResult::NotConnected => self.holds.answered(endpoint, span, fence, false),
+            | OrderResult::NotConnected => self.holds.record_answer(endpoint, span, fence, false),
         }
     }
 
-    fn move_answered(&mut self, now: Mono, order: &Order, result: &OrderResult) {
+    fn handle_move_result(&mut self, now: Mono, order: &Order, result: &OrderResult) {
         let sealing = matches!(order.kind, OrderKind::Seal { .. });
         if sealing {
-            self.hold_answered(order, result);
+            self.record_hold_result(order, result);
         }
         let next = self
             .row
@@ -370,11 +377,11 @@
             return;
         }
         state.pending = false;
-        state.look_after = now;
+        state.check_after = now;
         match result {
             OrderResult::Done { .. } if sealing => state.sealed = true,
             OrderResult::Done { handover } => state.freed = Some(Freed::Released(handover.clone())),
-            // The process that held the keys has ended.
+            // Another process listens on the address, so the holder's process has ended.
             OrderResult::NotThere => state.freed = Some(Freed::Lapsed),
             OrderResult::Stale
             | OrderResult::NotSent
@@ -386,7 +393,7 @@
         }
     }
 
-    /// Forgets endpoints that are neither listed nor holders.
+    /// Removes the failure records of endpoints that are neither listed nor holders.
     pub fn forget_absent(&mut self, registry: &Registry) {
         let row = &self.row;
         self.reach.forget_absent(|id| {
@@ -395,17 +402,18 @@
     }
 }
 
-fn is_due(cfg: &LeaderSettings, now: Mono, given: Option<Given>) -> bool {
-    let Some(given) = given else { return true };
-    if given.pending {
+/// Whether a grant is to be sent or renewed; `status` is `None` if it was not sent before.
+fn is_due(cfg: &LeaderSettings, now: Mono, status: Option<GrantStatus>) -> bool {
+    let Some(status) = status else { return true };
+    if status.pending {
         return false;
     }
-    let period = if given.answered {
+    let period = if status.succeeded {
         cfg.renew_ms
     } else {
         cfg.retry_ms
     };
-    now.since(given.at) >= period
+    now.since(status.sent_at) >= period
 }
 
 fn order(
@@ -434,7 +442,7 @@
 }
 
 impl Range {
-    /// Its keys.
+    /// Keys of the range.
     #[must_use]
     pub const fn span(&self) -> Span {
         Span {
--- a/crates/citronway-core/src/gateway/leader/orders.rs
+++ b/crates/citronway-core/src/gateway/leader/orders.rs
@@ -1,4 +1,4 @@
-//! What a leader asks for and what comes back.
+//! Orders to endpoints and writes to the store that a leader requests, and their results.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use crate::ids::{EndpointStart, ServiceName, Version};
 use crate::time::Mono;
 
-/// Keys from first to last, both included.
+/// A contiguous range of keys, both ends included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Span {
     /// First key.
@@ -16,97 +16,98 @@
 }
 
 impl Span {
-    /// Whether the two have a key in common.
+    /// Whether both spans have a key in common.
     #[must_use]
     pub const fn overlaps(self, other: Self) -> bool {
         self.first <= other.last && other.first <= self.last
     }
 }
 
-/// Something that a leader wants done.
+/// An operation that the caller carries out for a leader.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Tell an endpoint.
+    /// Send an order to an endpoint.
     Order(Order),
-    /// Replace the stored row, if neither it nor the leader has changed.
+    /// Replace the stored row, provided that neither the row nor the leader has changed.
     Write {
-        /// Service whose row it is.
+        /// Service that the row belongs to.
         service: ServiceName,
         /// The new row.
         row: Assignment,
-        /// Version that the row must have; zero if there must be none.
+        /// Version that the stored row must have; zero if no row may exist.
         expected: Version,
     },
 }
 
-/// A call at an endpoint.
+/// A call to an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Order {
     /// Service of the keys.
     pub service: ServiceName,
-    /// Start of the endpoint that is meant.
+    /// Start of the endpoint that the order is addressed to.
     pub endpoint: EndpointStart,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Keys.
+    /// Keys that the order is about.
     pub span: Span,
-    /// Fence of the grant.
+    /// Fencing token of the grant.
     pub fence: u64,
-    /// Which call.
+    /// Kind of the call.
     pub kind: OrderKind,
-    /// Then the call is given up and its connection closed.
+    /// When the call is abandoned and its connection closed.
     pub deadline: Mono,
-    /// The call goes only on a connection that was made by then.
+    /// The call may only use a connection that was opened by this time.
     ///
-    /// Failure guarded against: a leader that was replaced while it could not reach the store
-    /// renews at an endpoint that has started again and remembers no fence of its successor.
-    /// A connection ends with the process that took it.
+    /// Failure guarded against: a leader is replaced while it cannot reach the store, and renews
+    /// a grant at an endpoint that has restarted and so has lost the fence of the leader's
+    /// successor. A connection ends with the process that accepted it.
     pub connect_by: Mono,
 }
 
-/// Which call an order is.
+/// Kind of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Grants the keys, or renews the same grant.
+    /// Grants the keys, or renews their grant.
     Grant {
-        /// How long it holds from its arrival, in milliseconds.
+        /// Duration of the hold from the arrival of the order, in milliseconds.
         hold_ms: u64,
-        /// Proof from the last holder, if there is one.
+        /// Handover proof of the previous holder; `None` if it gave none.
         handover: Option<String>,
     },
-    /// A grant with a higher fence before a release: refuses all earlier grants.
+    /// Renews the hold with a higher fence before a release, so that the holder refuses all
+    /// earlier grants.
     Seal {
-        /// How long it holds from its arrival, in milliseconds.
+        /// Duration of the hold from the arrival of the order, in milliseconds.
         hold_ms: u64,
     },
-    /// Takes the keys back; answered when work on them has ended.
+    /// Revokes the keys; answered when the work on them has ended.
     Release,
 }
 
-/// What came of an order.
+/// Result of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderResult {
-    /// Done; a release may bring a proof for the next owner.
+    /// The endpoint carried out the order.
     Done {
-        /// Proof for the next owner.
+        /// Handover proof for the next owner, which a release may return.
         handover: Option<String>,
     },
     /// The endpoint has seen a higher fence.
     Stale,
-    /// Another start or another service has the address.
+    /// Another start or another service listens on the address.
     NotThere,
-    /// Nothing was sent: the endpoint takes no connection.
+    /// Nothing was sent: the endpoint accepted no connection.
     NotSent,
-    /// Nothing was sent: this instance was too busy to begin in time.
+    /// Nothing was sent: this instance was too busy to begin before the deadline.
     TooLate,
-    /// Nothing was sent: no connection was made early enough.
+    /// Nothing was sent: no connection had been opened by [`Order::connect_by`].
     NotConnected,
-    /// No answer; it may be carried out later.
+    /// No answer arrived; the order may still be carried out later.
     Lost,
 }
 
 impl OrderResult {
-    /// Whether it is certain that the endpoint got nothing.
+    /// Whether the endpoint certainly received nothing.
     #[must_use]
     pub const fn is_unsent(&self) -> bool {
         match self {
@@ -116,15 +117,15 @@
     }
 }
 
-/// What came of a write.
+/// Result of a write to the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteResult {
-    /// The row stands at this version.
+    /// The row was written and has this version.
     Done(Assignment, Version),
     /// The row or the leader has changed.
     Conflict,
-    /// The store did nothing.
+    /// The store did not carry out the write.
     NotDone,
-    /// No answer; it may be done, now or later.
+    /// No answer arrived; the write may be carried out now or later.
     Unknown,
 }
--- a/crates/citronway-core/src/gateway/leader/reach.rs
+++ b/crates/citronway-core/src/gateway/leader/reach.rs
@@ -1,4 +1,4 @@
-//! Which endpoints answer the leader's orders.
+//! Failure detection of endpoints, by their answers to the leader's orders.
 
 use indexmap::IndexMap;
 
@@ -6,18 +6,19 @@
 use crate::ids::EndpointStart;
 use crate::time::Mono;
 
-/// Failures in a row without which an endpoint is not lost.
+/// Fewest consecutive failures of a lost endpoint.
 const MIN_FAILURES: u32 = 2;
 
-/// Time after which a lost endpoint is tried again, in milliseconds.
+/// Time after its last failure at which a lost endpoint is tried again, in milliseconds.
 ///
-/// A lost endpoint gets no orders that could show its return; this is longer than
-/// the hold that has to end before its keys can go elsewhere.
-const FORGIVEN_AFTER_MS: u64 = 5_000;
+/// A lost endpoint receives no orders that could reveal its recovery. This is longer than
+/// the hold that must end before its keys can be reassigned.
+const LOST_RETRY_MS: u64 = 5_000;
 
-/// Share of silent endpoints at which the leader itself is taken for cut off.
+/// Share of lost endpoints from which on the leader itself counts as cut off, as a fraction.
 const CUT_OFF_SHARE: (usize, usize) = (3, 5);
 
+/// Reachability of each endpoint.
 #[derive(Debug, Default)]
 pub(super) struct Reach {
     endpoints: IndexMap<EndpointStart, Link>,
@@ -27,7 +28,7 @@
 struct Link {
     failing_since: Option<Mono>,
     failures: u32,
-    last_try: Mono,
+    last_failure_at: Mono,
 }
 
 impl Reach {
@@ -44,14 +45,14 @@
         let link = self.endpoints.entry(endpoint.clone()).or_default();
         link.failing_since.get_or_insert(now);
         link.failures += 1;
-        link.last_try = now;
+        link.last_failure_at = now;
     }
 
-    /// Whether the endpoint failed so lately that the next try has to wait.
+    /// Whether the last failure is so recent that the next order must wait.
     pub(super) fn backs_off(&self, cfg: &LeaderSettings, now: Mono, e: &EndpointStart) -> bool {
         self.endpoints
             .get(e)
-            .is_some_and(|link| link.failures > 0 && now.since(link.last_try) < cfg.retry_ms)
+            .is_some_and(|link| link.failures > 0 && now.since(link.last_failure_at) < cfg.retry_ms)
     }
 
     pub(super) fn is_lost(&self, cfg: &LeaderSettings, now: Mono, e: &EndpointStart) -> bool {
@@ -77,7 +78,7 @@
 impl Link {
     fn is_lost(&self, cfg: &LeaderSettings, now: Mono) -> bool {
         self.failures >= MIN_FAILURES
-            && now.since(self.last_try) < FORGIVEN_AFTER_MS
+            && now.since(self.last_failure_at) < LOST_RETRY_MS
             && self
                 .failing_since
                 .is_some_and(|since| now.since(since) >= cfg.lost_after_ms)
--- a/crates/citronway-core/src/gateway/leader/settings.rs
+++ b/crates/citronway-core/src/gateway/leader/settings.rs
@@ -1,49 +1,51 @@
-//! Times that leaders keep to, and what follows from them for those after them.
+//! Timing settings of a leader, and the limits that its successors derive from them.
 
 use crate::gateway::leader::holds::CallTimes;
 use crate::time::Mono;
 
-/// How late timers fire and how exactly times are read, in milliseconds.
+/// Allowance for late timers and for the resolution of clock readings, in milliseconds.
 const TIMER_MARGIN_MS: u64 = 50;
 
-/// Times of a leader, in milliseconds.
+/// Timing settings of a leader, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderSettings {
-    /// How long a grant holds from its arrival.
+    /// Duration of a hold, counted from the arrival of its grant.
     ///
-    /// Must outlast one renewal period and a change of the leader; a key whose
-    /// holder fell silent waits for its end.
+    /// Must outlast one renewal period and a change of leader. When a holder does not
+    /// respond, its keys cannot be reassigned until the hold ends.
     pub hold_ms: u64,
-    /// Time between two renewals of a grant.
+    /// Interval between two renewals of a grant.
     pub renew_ms: u64,
     /// Time after which an unanswered order counts as lost.
     pub order_timeout_ms: u64,
-    /// How much later than the end of its call a grant may still arrive.
+    /// Longest time after the end of its call at which a grant may still arrive.
     ///
-    /// Failure: a full endpoint takes a connection late, and what was sent before the
-    /// call was given up is read then. Its hold runs from there, and the next owner gets
-    /// the keys before it ends.
+    /// Failure: a saturated endpoint accepts a connection late and then reads a grant that was
+    /// sent before the call was abandoned. The hold runs from that moment, and without this
+    /// allowance the next owner gets the keys before the hold ends.
     pub late_arrival_ms: u64,
-    /// Time after which an unanswered release counts as lost: it is answered when the
-    /// work on its keys has ended, and the longest takes about three seconds at a slow
-    /// endpoint.
+    /// Time after which an unanswered release counts as lost.
+    ///
+    /// A release is answered when the work on its keys has ended, which takes up to about
+    /// 3 s at a slow endpoint.
     pub release_timeout_ms: u64,
-    /// Time between two tries of an order that was lost.
+    /// Delay before a lost order is retried.
     pub retry_ms: u64,
-    /// Time from one write of the row to the next.
+    /// Minimum interval between two writes of the row.
     ///
-    /// Moves that end at about the same time share a write; each one is passed on to all
-    /// instances.
+    /// Moves that end at about the same time share a write, since each write is propagated to
+    /// all instances.
     pub write_gap_ms: u64,
-    /// How long grants go on without word from the store that this is the leader.
+    /// Longest time for which grants continue after the store last confirmed this leader.
     ///
-    /// Longer than the outages of the store that are to be ridden out.
+    /// Longer than the store outages that the service must survive.
     pub contact_limit_ms: u64,
-    /// How long after word from the store grants may go on connections made since.
+    /// Longest time after the store's last confirmation of this leader at which a connection
+    /// that carries grants may be opened.
     ///
-    /// Longer than the time between two such words.
+    /// Longer than the interval between two confirmations.
     pub connect_limit_ms: u64,
-    /// Silence after which an endpoint counts as lost.
+    /// Time without an answer after which an endpoint counts as lost.
     pub lost_after_ms: u64,
 }
 
@@ -65,28 +67,28 @@
 }
 
 impl LeaderSettings {
-    /// Latest end of a hold whose grant arrived at `arrival` or before.
+    /// Latest end of a hold whose grant arrived no later than `arrival`.
     ///
-    /// The endpoint's clock may run 2% slow.
+    /// Allows for an endpoint clock that runs 2% slow.
     #[must_use]
     pub const fn latest_hold_end(&self, arrival: Mono) -> Mono {
         arrival.plus(self.hold_ms + self.hold_ms / 50 + TIMER_MARGIN_MS)
     }
 
-    /// Latest end of a hold that is given by an order of `decided`.
+    /// Latest end of a hold that is granted by an order issued at `issued_at`.
     #[must_use]
-    pub const fn end_of_order(&self, decided: Mono) -> Mono {
-        self.latest_hold_end(decided.plus(self.order_timeout_ms + self.late_arrival_ms))
+    pub const fn latest_hold_end_of_order(&self, issued_at: Mono) -> Mono {
+        self.latest_hold_end(issued_at.plus(self.order_timeout_ms + self.late_arrival_ms))
     }
 
-    pub(super) const fn call_times(&self, decided: Mono) -> CallTimes {
+    pub(super) const fn call_times(&self, issued_at: Mono) -> CallTimes {
         CallTimes {
-            arrival: decided.plus(self.order_timeout_ms + self.late_arrival_ms),
-            end: self.end_of_order(decided),
+            arrival: issued_at.plus(self.order_timeout_ms + self.late_arrival_ms),
+            end: self.latest_hold_end_of_order(issued_at),
         }
     }
 
-    /// What an earlier leader, replaced at `replaced`, may still do.
+    /// Limits on the effects of an earlier leader that was replaced at `replaced`.
     #[must_use]
     pub const fn predecessor_limits(&self, replaced: Mono) -> PredecessorLimits {
         PredecessorLimits {
@@ -95,34 +97,34 @@
         }
     }
 
-    /// What a leader that stopped at `at` may have left behind.
+    /// Limits on the effects of an earlier leader that is known to have stopped at `at`.
     #[must_use]
     pub const fn stopped_predecessor_limits(&self, at: Mono) -> PredecessorLimits {
         PredecessorLimits {
             connect_until: at.plus(self.order_timeout_ms + TIMER_MARGIN_MS),
-            hold_until: self.end_of_order(at),
+            hold_until: self.latest_hold_end_of_order(at),
         }
     }
 
-    /// How long after it was replaced an earlier leader's last hold can end, in
+    /// Longest time from the replacement of a leader to the end of its last hold, in
     /// milliseconds.
     #[must_use]
     pub const fn predecessor_wait_ms(&self) -> u64 {
-        self.end_of_order(Mono(self.contact_limit_ms)).0
+        self.latest_hold_end_of_order(Mono(self.contact_limit_ms)).0
     }
 }
 
-/// What earlier leaders may still do.
+/// Times until which earlier leaders may still have an effect.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PredecessorLimits {
-    /// Until then they may make connections to endpoints and grant on them.
+    /// Time until which they may open connections to endpoints and send grants.
     pub connect_until: Mono,
-    /// Until then holds that they gave may last.
+    /// Time until which holds that they granted may last.
     pub hold_until: Mono,
 }
 
 impl PredecessorLimits {
-    /// The earlier ends of both.
+    /// The earlier of both times, for each limit.
     #[must_use]
     pub fn min(self, other: Self) -> Self {
         Self {
