--- a/crates/citronway-core/src/gateway/leader/moves.rs
+++ b/crates/citronway-core/src/gateway/leader/moves.rs
@@ -306,7 +306,7 @@
     }
 
     /// Handles the result of an order.
-    pub fn answered(&mut self, now: Mono, order: &Order, result: &OrderResult) {
+    pub fn handle_order_result(&mut self, now: Mono, order: &Order, result: &OrderResult) {
         match result {
             OrderResult::Done { .. } | OrderResult::Stale | OrderResult::NotThere => {
                 self.reach.answered(&order.endpoint);
--- a/crates/citronway-core/tests/gateway_leader_moves.rs
+++ b/crates/citronway-core/tests/gateway_leader_moves.rs
@@ -92,7 +92,7 @@
                     self.leader.handle_write_result(self.now, done);
                 }
                 Action::Order(order) => {
-                    self.leader.answered(self.now, &order, &answer(&order));
+                    self.leader.handle_order_result(self.now, &order, &answer(&order));
                     orders.push(order);
                 }
             }
--- a/crates/citronway-core/tests/gateway_leader_rows.rs
+++ b/crates/citronway-core/tests/gateway_leader_rows.rs
@@ -79,7 +79,7 @@
     expect_that!(written(&actions), none());
     for action in actions {
         if let Action::Order(order) = action {
-            leader.answered(NOW, &order, &OrderResult::Done { handover: None });
+            leader.handle_order_result(NOW, &order, &OrderResult::Done { handover: None });
         }
     }
     let actions = leader.step(NOW.plus(25), &registry);
@@ -141,7 +141,7 @@
             now = now.plus(25);
             for action in leader.step(now, &registry) {
                 if let Action::Order(order) = action {
-                    leader.answered(now, &order, &result);
+                    leader.handle_order_result(now, &order, &result);
                 }
             }
         }
@@ -186,7 +186,7 @@
                         granted = Some(order.clone());
                     }
                     let done = OrderResult::Done { handover: None };
-                    leader.answered(now, &order, &done);
+                    leader.handle_order_result(now, &order, &done);
                 }
             }
         }
--- a/crates/citronway-core/tests/leader_world/mod.rs
+++ b/crates/citronway-core/tests/leader_world/mod.rs
@@ -445,7 +445,7 @@
             links.open(place, life);
             self.endpoints[place].take(now, now, order)
         };
-        self.instances[i].leader.answered(now, order, &result);
+        self.instances[i].leader.handle_order_result(now, order, &result);
     }
 
     fn check(&mut self) -> Option<String> {
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -273,7 +273,7 @@
 
     pub(super) fn ordered(&mut self, now: Mono, order: &Order, result: &OrderResult) {
         if let Some(leader) = self.leaders.get_mut(&order.service) {
-            leader.answered(now, order, result);
+            leader.handle_order_result(now, order, result);
         }
     }
 
