--- a/crates/citronway-core/src/gateway/cold.rs
+++ b/crates/citronway-core/src/gateway/cold.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 
-use crate::gateway::leader::{LeaderSettings, PredecessorLimits};
+use crate::gateway::leader::{FormerLeaderLimits, LeaderSettings};
 use crate::gateway::pace::EndpointTag;
 use crate::time::Mono;
 
@@ -54,7 +54,7 @@
     /// Start of the newest call by which the store confirmed it.
     pub confirmed_at: Mono,
     /// What earlier leaders may still do.
-    pub rivals: PredecessorLimits,
+    pub rivals: FormerLeaderLimits,
     /// Earlier leaders that are not known to have stopped.
     pub earlier_leaders: u32,
 }
--- a/crates/citronway-core/src/gateway/election.rs
+++ b/crates/citronway-core/src/gateway/election.rs
@@ -317,7 +317,7 @@
         // All have ended; the last hold was given before.
         return cfg.latest_hold_end(now);
     };
-    let longest = cfg.predecessor_limits(now).hold_until;
+    let longest = cfg.former_leader_limits(now).hold_until;
     let Some(store_ms) = store_ms else {
         return longest;
     };
--- a/crates/citronway-core/src/gateway/leader/mod.rs
+++ b/crates/citronway-core/src/gateway/leader/mod.rs
@@ -8,7 +8,7 @@
 //! - A range is taken from its holder only after the holder has confirmed a higher fence and a
 //!   release, or after the end of every hold that any leader may have granted it.
 //! - A leader that the store has not confirmed for [`LeaderSettings::contact_limit_ms`] sends
-//!   no more grants, which bounds the holds that an earlier leader may have granted.
+//!   no more grants, which bounds the holds that a former leader may have granted.
 //!
 //! An endpoint that restarts loses the fences that it confirmed. Therefore a leader sends grants
 //! on a new connection only within [`LeaderSettings::connect_limit_ms`] of its last
@@ -33,7 +33,7 @@
 use reach::Reach;
 
 pub use orders::{Action, Order, OrderKind, OrderResult, Span, WriteResult};
-pub use settings::{LeaderSettings, PredecessorLimits};
+pub use settings::{FormerLeaderLimits, LeaderSettings};
 
 /// Number of ranges for which the minimum interval between two writes of the row grows by
 /// 1 ms: 500 ranges add 62 ms.
@@ -61,7 +61,7 @@
     writing: bool,
     /// Earliest time of the next write.
     write_after: Mono,
-    /// Progress of taking over the moves of an earlier leader.
+    /// Progress of taking over the moves of a former leader.
     takeover: Takeover,
     /// New assignment that has not been written yet.
     wanted: Option<Assignment>,
@@ -72,14 +72,14 @@
     handovers: IndexMap<u64, String>,
 }
 
-/// Progress in giving new fences to the moves of an earlier leader.
+/// Progress in giving new fences to the moves of a former leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Takeover {
     /// The term has begun and no step has run yet.
     Begins,
-    /// Moves with a fence below this one belong to an earlier leader.
+    /// Moves with a fence below this one belong to a former leader.
     Above(u64),
-    /// No move of an earlier leader is left.
+    /// No move of a former leader is left.
     Done,
 }
 
@@ -88,8 +88,8 @@
 struct Term {
     /// When the latest call by which the store confirmed the leader was sent.
     contact: Mono,
-    /// Limits on the effects of earlier leaders.
-    predecessors: PredecessorLimits,
+    /// Limits on the effects of former leaders.
+    former_leaders: FormerLeaderLimits,
 }
 
 impl Leader {
@@ -116,10 +116,10 @@
     /// Begins a term. The row must have been read since the election.
     ///
     /// `contact` is when the call that confirmed the leader was sent.
-    pub fn begin_term(&mut self, contact: Mono, predecessors: PredecessorLimits) {
+    pub fn begin_term(&mut self, contact: Mono, former_leaders: FormerLeaderLimits) {
         self.term = Some(Term {
             contact,
-            predecessors,
+            former_leaders,
         });
         self.writing = false;
         self.takeover = Takeover::Begins;
@@ -148,11 +148,11 @@
         }
     }
 
-    /// Tightens the limits on an earlier leader that is known to have stopped at `at`.
-    pub fn predecessor_stopped(&mut self, at: Mono) {
-        let left = self.cfg.stopped_predecessor_limits(at);
+    /// Tightens the limits on a former leader that is known to have stopped at `at`.
+    pub fn former_leader_stopped(&mut self, at: Mono) {
+        let left = self.cfg.stopped_former_leader_limits(at);
         if let Some(term) = &mut self.term {
-            term.predecessors = term.predecessors.min(left);
+            term.former_leaders = term.former_leaders.min(left);
         }
     }
 
@@ -319,9 +319,9 @@
         }
     }
 
-    /// Gives new fences to the moves of an earlier leader.
+    /// Gives new fences to the moves of a former leader.
     ///
-    /// Failure: the earlier leader is slow or cut off and seals a holder after this leader has
+    /// Failure: the former leader is slow or cut off and seals a holder after this leader has
     /// released it and the next owner holds the keys. With new fences the holder refuses those
     /// seals, whose fences are lower.
     fn take_over_moves(&mut self, now: Mono, actions: &mut Vec<Action>) {
--- a/crates/citronway-core/src/gateway/leader/moves.rs
+++ b/crates/citronway-core/src/gateway/leader/moves.rs
@@ -258,7 +258,7 @@
             let latest = self
                 .holds
                 .latest_end(&holder.endpoint, span)
-                .max(term.predecessors.hold_until);
+                .max(term.former_leaders.hold_until);
             if now > latest {
                 state.freed = Some(Freed::Lapsed);
                 continue;
@@ -281,8 +281,8 @@
                     continue;
                 }
                 // Failure: the holder restarts after the seal and loses the fence, and the
-                // renewal comes from an earlier leader that does not know of this one.
-                if now < term.predecessors.connect_until {
+                // renewal comes from a former leader that does not know of this one.
+                if now < term.former_leaders.connect_until {
                     continue;
                 }
                 state.seals += 1;
--- a/crates/citronway-core/src/gateway/leader/settings.rs
+++ b/crates/citronway-core/src/gateway/leader/settings.rs
@@ -88,19 +88,19 @@
         }
     }
 
-    /// Limits on the effects of an earlier leader that was replaced at `replaced`.
+    /// Limits on the effects of a former leader that was replaced at `replaced`.
     #[must_use]
-    pub const fn predecessor_limits(&self, replaced: Mono) -> PredecessorLimits {
-        PredecessorLimits {
+    pub const fn former_leader_limits(&self, replaced: Mono) -> FormerLeaderLimits {
+        FormerLeaderLimits {
             connect_until: replaced.plus(self.connect_limit_ms + TIMER_MARGIN_MS),
-            hold_until: replaced.plus(self.predecessor_wait_ms()),
+            hold_until: replaced.plus(self.former_leader_wait_ms()),
         }
     }
 
-    /// Limits on the effects of an earlier leader that is known to have stopped at `at`.
+    /// Limits on the effects of a former leader that is known to have stopped at `at`.
     #[must_use]
-    pub const fn stopped_predecessor_limits(&self, at: Mono) -> PredecessorLimits {
-        PredecessorLimits {
+    pub const fn stopped_former_leader_limits(&self, at: Mono) -> FormerLeaderLimits {
+        FormerLeaderLimits {
             connect_until: at.plus(self.order_timeout_ms + TIMER_MARGIN_MS),
             hold_until: self.latest_hold_end_of_order(at),
         }
@@ -109,21 +109,21 @@
     /// Longest time from the replacement of a leader to the end of its last hold, in
     /// milliseconds.
     #[must_use]
-    pub const fn predecessor_wait_ms(&self) -> u64 {
+    pub const fn former_leader_wait_ms(&self) -> u64 {
         self.latest_hold_end_of_order(Mono(self.contact_limit_ms)).0
     }
 }
 
-/// Times until which earlier leaders may still have an effect.
+/// Times until which former leaders may still have an effect.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PredecessorLimits {
+pub struct FormerLeaderLimits {
     /// Time until which they may open connections to endpoints and send grants.
     pub connect_until: Mono,
     /// Time until which holds that they granted may last.
     pub hold_until: Mono,
 }
 
-impl PredecessorLimits {
+impl FormerLeaderLimits {
     /// The earlier of both times, for each limit.
     #[must_use]
     pub fn min(self, other: Self) -> Self {
--- a/crates/citronway-core/tests/gateway_cold.rs
+++ b/crates/citronway-core/tests/gateway_cold.rs
@@ -7,7 +7,7 @@
 use citronway_core::gateway::cold::{
     self, ColdGrant, ColdRequest, ColdSendLimiter, LeaderStanding,
 };
-use citronway_core::gateway::leader::{LeaderSettings, PredecessorLimits};
+use citronway_core::gateway::leader::{FormerLeaderLimits, LeaderSettings};
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::time::Mono;
 use googletest::prelude::*;
@@ -32,7 +32,7 @@
 fn alone() -> LeaderStanding {
     LeaderStanding {
         confirmed_at: CONFIRMED,
-        rivals: PredecessorLimits::default(),
+        rivals: FormerLeaderLimits::default(),
         earlier_leaders: 0,
     }
 }
@@ -83,7 +83,7 @@
     fn add_rival(&mut self, now: Mono, contact: Mono) {
         let office = LeaderStanding {
             confirmed_at: contact,
-            rivals: LeaderSettings::default().predecessor_limits(now),
+            rivals: LeaderSettings::default().former_leader_limits(now),
             earlier_leaders: u32::try_from(self.leaders.len()).unwrap(),
         };
         self.leaders.push(ColdSendLimiter::for_new_leader(now));
@@ -204,15 +204,17 @@
     let replaced = Mono(50_000);
     let office = LeaderStanding {
         confirmed_at: CONFIRMED,
-        rivals: cfg.predecessor_limits(replaced),
+        rivals: cfg.former_leader_limits(replaced),
         earlier_leaders: 1,
     };
     let part = |ms| cold::granted_share(replaced.plus(ms), &cfg, &office);
     expect_that!(part(0), none());
     expect_that!(part(cfg.connect_limit_ms + 100), some(eq(0.5)));
-    expect_that!(part(cfg.predecessor_wait_ms()), some(eq(1.0)));
+    expect_that!(part(cfg.former_leader_wait_ms()), some(eq(1.0)));
     let stopped = LeaderStanding {
-        rivals: office.rivals.min(cfg.stopped_predecessor_limits(replaced)),
+        rivals: office
+            .rivals
+            .min(cfg.stopped_former_leader_limits(replaced)),
         ..office
     };
     let soon = replaced.plus(cfg.order_timeout_ms + 100);
--- a/crates/citronway-core/tests/gateway_election.rs
+++ b/crates/citronway-core/tests/gateway_election.rs
@@ -220,19 +220,19 @@
 fn a_claim_that_is_taken_late_extends_the_wait_for_the_earlier_leader() {
     let cfg = LeaderSettings::default();
     let (claimed, store_ms) = (Mono(60_000), 5_000);
-    let former = [former("first", store_ms + cfg.predecessor_wait_ms())];
+    let former = [former("first", store_ms + cfg.former_leader_wait_ms())];
     for late_ms in [0, 400, 3_000, 6_000] {
         let now = claimed.plus(late_ms);
         let until = former_holds_until(now, &cfg, &former, Some(store_ms + late_ms), claimed);
         // The store may have confirmed it until this moment.
         expect_that!(
             until,
-            ge(now.plus(cfg.predecessor_wait_ms())),
+            ge(now.plus(cfg.former_leader_wait_ms())),
             "{late_ms} ms"
         );
         expect_that!(
             until,
-            le(cfg.predecessor_limits(now).hold_until),
+            le(cfg.former_leader_limits(now).hold_until),
             "{late_ms} ms"
         );
     }
--- a/crates/citronway-core/tests/gateway_leader_moves.rs
+++ b/crates/citronway-core/tests/gateway_leader_moves.rs
@@ -2,7 +2,7 @@
 
 use citronway_core::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, Range};
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Move, Order, OrderKind, OrderResult, PredecessorLimits, Span,
+    Action, FormerLeaderLimits, Leader, LeaderSettings, Move, Order, OrderKind, OrderResult, Span,
     WriteResult,
 };
 use citronway_core::gateway::registry::{Listing, Registry};
@@ -42,7 +42,7 @@
 }
 
 impl Scene {
-    fn new(rivals: PredecessorLimits) -> Self {
+    fn new(rivals: FormerLeaderLimits) -> Self {
         let listings = [listing("a", 1), listing("b", 2), listing("c", 3)];
         let mut registry = Registry::default();
         for listing in &listings {
@@ -92,7 +92,8 @@
                     self.leader.handle_write_result(self.now, done);
                 }
                 Action::Order(order) => {
-                    self.leader.handle_order_result(self.now, &order, &answer(&order));
+                    self.leader
+                        .handle_order_result(self.now, &order, &answer(&order));
                     orders.push(order);
                 }
             }
@@ -114,7 +115,7 @@
 #[gtest]
 fn grants_go_on_connections_from_before_the_last_confirmation() {
     let cfg = LeaderSettings::default();
-    let mut scene = Scene::new(PredecessorLimits::default());
+    let mut scene = Scene::new(FormerLeaderLimits::default());
     let mut grants = 0;
     while scene.now < NOW.plus(cfg.contact_limit_ms) {
         for order in scene.step(done) {
@@ -134,7 +135,7 @@
 #[gtest]
 fn nothing_is_sealed_while_an_earlier_leader_may_connect() -> Result<()> {
     let cfg = LeaderSettings::default();
-    let mut scene = Scene::new(cfg.predecessor_limits(NOW));
+    let mut scene = Scene::new(cfg.former_leader_limits(NOW));
     scene.step(done);
     scene.wish(WHOLE, "b");
     let sealed = scene.first_seal().or_fail()?;
@@ -146,8 +147,8 @@
 #[gtest]
 fn a_seal_waits_only_for_the_last_orders_of_a_leader_that_has_stopped() -> Result<()> {
     let cfg = LeaderSettings::default();
-    let mut scene = Scene::new(cfg.predecessor_limits(NOW));
-    scene.leader.predecessor_stopped(NOW);
+    let mut scene = Scene::new(cfg.former_leader_limits(NOW));
+    scene.leader.former_leader_stopped(NOW);
     scene.step(done);
     scene.wish(WHOLE, "b");
     let sealed = scene.first_seal().or_fail()?;
@@ -159,7 +160,7 @@
 /// Guards against an endpoint that counts as lost because its leader may not connect.
 #[gtest]
 fn orders_without_a_connection_tell_nothing_of_the_endpoint() {
-    let mut scene = Scene::new(PredecessorLimits::default());
+    let mut scene = Scene::new(FormerLeaderLimits::default());
     for _ in 0..200 {
         scene.step(|_| OrderResult::NotConnected);
     }
@@ -170,7 +171,7 @@
 /// Guards against keys that are given on although their holder has let go of others only.
 #[gtest]
 fn each_rest_of_a_moving_range_is_released_by_itself() {
-    let mut scene = Scene::new(PredecessorLimits::default());
+    let mut scene = Scene::new(FormerLeaderLimits::default());
     let held = |order: &Order| match order.kind {
         OrderKind::Release => OrderResult::Lost,
         OrderKind::Grant { .. } | OrderKind::Seal { .. } => done(order),
--- a/crates/citronway-core/tests/gateway_leader_rows.rs
+++ b/crates/citronway-core/tests/gateway_leader_rows.rs
@@ -2,7 +2,7 @@
 
 use citronway_core::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, MAX_RANGES, Range};
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Move, OrderKind, OrderResult, PredecessorLimits, Span,
+    Action, FormerLeaderLimits, Leader, LeaderSettings, Move, OrderKind, OrderResult, Span,
     WriteResult,
 };
 use citronway_core::gateway::registry::{Listing, Registry};
@@ -56,7 +56,7 @@
 fn leader(row: &Assignment) -> Leader {
     let mut leader = Leader::new(LeaderSettings::default(), ServiceName::new("batch"));
     leader.update_row(row.clone(), Version(5));
-    leader.begin_term(NOW, PredecessorLimits::default());
+    leader.begin_term(NOW, FormerLeaderLimits::default());
     leader
 }
 
--- a/crates/citronway-core/tests/leader_world/mod.rs
+++ b/crates/citronway-core/tests/leader_world/mod.rs
@@ -12,7 +12,7 @@
 use citronway_core::gateway::assignment::Assignment;
 use citronway_core::gateway::keyload::KeyLoads;
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Move, Order, OrderResult, PredecessorLimits, Span, WriteResult,
+    Action, FormerLeaderLimits, Leader, LeaderSettings, Move, Order, OrderResult, Span, WriteResult,
 };
 use citronway_core::gateway::placement::{self, PlacementEndpoint, PlacementInput};
 use citronway_core::gateway::registry::{Listing, Registry};
@@ -145,7 +145,7 @@
         world.instances[0].term = 1;
         world.instances[0]
             .leader
-            .begin_term(start, PredecessorLimits::default());
+            .begin_term(start, FormerLeaderLimits::default());
         world
     }
 
@@ -304,7 +304,7 @@
         instance.term = self.term;
         instance.contact = now;
         instance.leader.update_row(self.row.clone(), self.version);
-        let rivals = LeaderSettings::default().predecessor_limits(now);
+        let rivals = LeaderSettings::default().former_leader_limits(now);
         instance.leader.begin_term(now, rivals);
     }
 
@@ -445,7 +445,9 @@
             links.open(place, life);
             self.endpoints[place].take(now, now, order)
         };
-        self.instances[i].leader.handle_order_result(now, order, &result);
+        self.instances[i]
+            .leader
+            .handle_order_result(now, order, &result);
     }
 
     fn check(&mut self) -> Option<String> {
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -6,7 +6,7 @@
     self, ElectionView, FormerLeader, LeaderRow, PeerState, Strength,
 };
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Order, OrderResult, PredecessorLimits, WriteResult,
+    Action, FormerLeaderLimits, Leader, LeaderSettings, Order, OrderResult, WriteResult,
 };
 use citronway_core::gateway::report::Report;
 use citronway_core::ids::{ServiceName, Session, Version};
@@ -68,7 +68,7 @@
     claimed: Option<(Version, Mono)>,
     cleared: bool,
     /// What earlier leaders may still do.
-    rivals: PredecessorLimits,
+    rivals: FormerLeaderLimits,
     /// Why this instance is not fit to lead, as it was last logged.
     unfit_for: Option<&'static str>,
 }
@@ -90,7 +90,7 @@
             claim_after: Mono::default(),
             claimed: None,
             cleared: false,
-            rivals: PredecessorLimits::default(),
+            rivals: FormerLeaderLimits::default(),
             unfit_for: None,
         }
     }
@@ -251,11 +251,11 @@
     }
 
     /// What earlier leaders may still do, if none is known to have stopped.
-    fn rivals(&self, now: Mono, cluster: &Cluster) -> PredecessorLimits {
+    fn rivals(&self, now: Mono, cluster: &Cluster) -> FormerLeaderLimits {
         let former = self.office.as_ref().map_or(&[][..], |row| &row.former);
         let store_ms = cluster.store_ms(now);
         let claimed = self.claimed.map_or(now, |(_, at)| at);
-        let mut rivals = self.cfg.predecessor_limits(now);
+        let mut rivals = self.cfg.former_leader_limits(now);
         rivals.hold_until = election::former_holds_until(now, &self.cfg, former, store_ms, claimed);
         if former.is_empty() {
             rivals.connect_until = now;
@@ -322,7 +322,7 @@
         for service in cluster.sharded() {
             self.leaders.entry(service.clone()).or_insert_with(|| {
                 let mut leader = Leader::new(self.cfg, service);
-                leader.begin_term(self.contact, PredecessorLimits::default());
+                leader.begin_term(self.contact, FormerLeaderLimits::default());
                 leader
             });
         }
@@ -360,10 +360,10 @@
         };
         if office.former.iter().all(stopped) {
             self.cleared = true;
-            self.rivals = self.rivals.min(self.cfg.stopped_predecessor_limits(now));
+            self.rivals = self.rivals.min(self.cfg.stopped_former_leader_limits(now));
             log::info!(term = office.term; "earlier leaders have stopped");
             for leader in self.leaders.values_mut() {
-                leader.predecessor_stopped(now);
+                leader.former_leader_stopped(now);
             }
         }
     }
@@ -436,7 +436,7 @@
         let row = cluster.leader.as_ref();
         let term = row.map_or(0, |row| row.term).max(self.term) + 1;
         let store_ms = cluster.store_ms(now)?;
-        let wait_ms = self.cfg.predecessor_wait_ms() + CLOCK_MARGIN_MS;
+        let wait_ms = self.cfg.former_leader_wait_ms() + CLOCK_MARGIN_MS;
         let former = election::former_leaders_after(row, &peers, store_ms, wait_ms);
         let expected = row.map_or(Version(0), |row| row.version);
         let value = match own_rows::leader_value(&self.me, term, former) {
