--- a/crates/citronway-core/src/gateway/admission/job.rs
+++ b/crates/citronway-core/src/gateway/admission/job.rs
@@ -1,4 +1,4 @@
-//! A request at admission and what is decided about it.
+//! A request at admission and the decision about it.
 
 use std::net::SocketAddr;
 
@@ -6,44 +6,44 @@
 use crate::ids::{EndpointStart, ServiceName};
 use crate::time::Mono;
 
-/// Times the mean work within which five in six requests are done, as a fraction: work
-/// is spread by half of its mean.
-const SURE_WORKS: (u64, u64) = (8, 5);
+/// Multiple of the mean work time within which five in six requests end, as a fraction. The
+/// work time varies by half of its mean.
+const MOST_WORK_FACTOR: (u64, u64) = (8, 5);
 
 /// A request that is to be sent to an endpoint.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Number of the request within the process.
+    /// Number of the request, unique within the process.
     pub ticket: u64,
-    /// Service that runs it.
+    /// Service that runs the request.
     pub service: ServiceName,
-    /// Its key, for a sharded service.
+    /// Key of the request; `None` if the service is not sharded.
     pub key: Option<u16>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Mono,
-    /// Until then an answer is worth most.
+    /// Latency objective: an answer after this time is worth less.
     pub objective_at: Mono,
-    /// Then its caller or its route no longer waits.
+    /// Time limit of the caller or the route, whichever is earlier.
     pub deadline: Mono,
-    /// Until then its caller could come back.
+    /// Time until which the caller may retry.
     pub caller_deadline: Mono,
-    /// Usual time of work of its route, in milliseconds.
+    /// Usual work time of the route, in milliseconds.
     pub work_ms: u64,
-    /// Usual size of an answer of its route, in bytes.
+    /// Usual size of the route's answers, in bytes.
     pub answer_bytes: u64,
-    /// Endpoints that it was sent to.
+    /// Endpoints that the request was sent to before.
     pub tried: Vec<EndpointStart>,
 }
 
 impl Job {
-    /// Time within which five in six requests of this kind are done, in milliseconds.
+    /// Time within which five in six requests of this kind end, in milliseconds.
     #[must_use]
     pub const fn expected_ms(&self) -> u64 {
-        self.work_ms * SURE_WORKS.0 / SURE_WORKS.1
+        self.work_ms * MOST_WORK_FACTOR.0 / MOST_WORK_FACTOR.1
     }
 }
 
@@ -52,59 +52,59 @@
 pub struct Choice {
     /// Start of the endpoint.
     pub endpoint: EndpointStart,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Fence of its grant, for a sharded service.
+    /// Fence of the endpoint's grant; `None` if the service is not sharded.
     pub fence: Option<u64>,
 }
 
-/// What is decided about a request.
+/// Decision about a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it.
+    /// Send the request.
     Send(Choice),
-    /// It has not run; the caller may come back.
+    /// Refuse the request, which has not run; the caller may retry.
     Refuse(Refusal),
 }
 
-/// Why a request is refused.
+/// Refusal of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When to come back, in milliseconds.
+    /// Time after which the caller should retry, in milliseconds.
     pub retry_after_ms: u64,
 }
 
-/// Why a request is refused without having run.
+/// Reason why a request is refused without having run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
     /// No configuration is known yet.
     NoConfiguration,
-    /// The configuration says of its route nothing that can be used.
+    /// The configuration of the route cannot be used.
     UnusableRoute,
-    /// The service has no endpoint that takes work.
+    /// The service has no endpoint that accepts work.
     NoEndpoint,
-    /// Nobody holds the key at the moment.
+    /// No endpoint holds the key at the moment.
     KeyUnowned,
-    /// No endpoint will be free before the request is of no use.
+    /// No endpoint will have room before the deadline.
     Overloaded,
     /// The endpoint cannot be reached.
     Unreachable,
-    /// The endpoint refused it, and no second send is left.
+    /// The endpoint refused the request, and no retry is left.
     EndpointRefused,
-    /// The instance stops; another one serves.
+    /// The instance is shutting down; another one can serve the request.
     Stopping,
     /// All endpoints of the service are in evacuated zones.
     Evacuated,
-    /// It crashed the endpoints that ran it, under other ids.
+    /// The same work crashed the endpoints that ran it, under other request ids.
     CrashesEndpoints,
-    /// The same work was at an endpoint that crashed, and another copy of it is being tried.
+    /// The same work was at an endpoint that crashed, and another copy of it is under trial.
     UnderTrial,
 }
 
 impl RefusalReason {
-    /// All reasons, for tables in documents and tests.
+    /// All reasons, for tables in documentation and tests.
     pub const ALL: [Self; 11] = [
         Self::NoConfiguration,
         Self::UnusableRoute,
@@ -119,7 +119,7 @@
         Self::UnderTrial,
     ];
 
-    /// Word for logs, metrics and answers.
+    /// Name of the reason in logs, metrics and answers.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -138,24 +138,24 @@
     }
 }
 
-/// Why it is not known whether a request ran.
+/// Reason why it is unknown whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnknownOutcomeReason {
-    /// Its endpoint broke off.
+    /// The connection to the endpoint broke.
     Broken,
-    /// Its time ended.
+    /// The request timed out.
     Timeout,
-    /// Its instance stopped before the endpoint answered.
+    /// The instance stopped before the endpoint answered.
     Stopped,
-    /// Its endpoint crashed with it, and others did before.
+    /// The endpoint crashed while it had the request, as others did before.
     Crashed,
 }
 
 impl UnknownOutcomeReason {
-    /// All reasons, for tables in documents and tests.
+    /// All reasons, for tables in documentation and tests.
     pub const ALL: [Self; 4] = [Self::Broken, Self::Timeout, Self::Stopped, Self::Crashed];
 
-    /// Word for logs and metrics.
+    /// Name of the reason in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/citronway-core/src/gateway/admission/view.rs
+++ b/crates/citronway-core/src/gateway/admission/view.rs
@@ -1,4 +1,4 @@
-//! What an instance believes when it decides about a request.
+//! Snapshot of the cluster state on which an instance bases its admission decisions.
 
 use std::sync::Arc;
 
@@ -12,29 +12,29 @@
 use crate::gateway::share::Demand;
 use crate::ids::{ServiceName, Version, ZoneName};
 
-/// Everything that is known outside the instance's own traffic.
+/// Everything that admission uses besides the instance's own traffic.
 #[derive(Debug, Clone)]
 pub struct View {
-    /// Configuration in force; none until the first is known.
+    /// Configuration in force; `None` until the first one is known.
     pub routes: Option<Arc<RouteTable>>,
     /// Listed endpoints.
     pub registry: Arc<Registry>,
     /// Owners of the keys of each sharded service.
     pub owners: IndexMap<ServiceName, Owners>,
-    /// What is known of each endpoint's load.
+    /// Load of each endpoint, as other instances report it.
     pub reported_loads: IndexMap<EndpointTag, ReportedLoad>,
     /// Availability zone of this instance.
     pub zone: ZoneName,
-    /// Order of this instance among all; the same everywhere.
+    /// Rank of this instance among all, on which all instances agree.
     pub rank: u64,
-    /// Instances that share the load, this one included.
+    /// Number of instances that share the load, this one included.
     pub instances: u32,
-    /// What is known of requests that crash endpoints.
+    /// Requests that crash endpoints or are suspected of it.
     pub crashes: Arc<CrashSnapshot>,
 }
 
 impl View {
-    /// What an instance knows when it starts: nothing.
+    /// View of an instance that has just started and knows nothing yet.
     #[must_use]
     pub fn empty(zone: ZoneName, rank: u64) -> Self {
         Self {
@@ -53,31 +53,31 @@
 /// Owners of a service's keys.
 #[derive(Debug, Clone)]
 pub struct Owners {
-    /// The assignment.
+    /// Assignment of the keys.
     pub assignment: Arc<Assignment>,
-    /// Version of its row.
+    /// Version of the assignment's row.
     pub version: Version,
 }
 
-/// Load of an endpoint as all instances report it.
+/// Load of an endpoint as reported by all instances.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ReportedLoad {
-    /// What each other instance has there or wants to send.
+    /// Requests that each other instance has there or waits to send.
     pub others: Vec<Demand>,
-    /// Requests of others in flight there.
+    /// Number of other instances' requests in flight there.
     pub in_flight: u32,
-    /// Requests of others that wait to be sent there.
+    /// Number of other instances' requests that wait to be sent there.
     pub waiting: u32,
-    /// The two are the sums of all instances; else those of `others`.
+    /// Whether `in_flight` and `waiting` are sums over all instances, not only over `others`.
     pub is_sum: bool,
-    /// Time that it takes, relative to an average endpoint.
+    /// Work time of the endpoint, relative to an average endpoint.
     pub slowness: f64,
-    /// Share of its requests that it fails or refuses.
+    /// Share of its requests that fail or are refused.
     pub failure_ratio: f64,
 }
 
 impl ReportedLoad {
-    /// An endpoint of which nothing is known.
+    /// Load of an endpoint that has no reports.
     #[must_use]
     pub fn unknown() -> Self {
         Self {
