--- a/crates/citronway-core/src/gateway/assignment/mod.rs
+++ b/crates/citronway-core/src/gateway/assignment/mod.rs
@@ -1,8 +1,7 @@
-//! Who owns which keys of a service, as it stands in the store.
+//! Assignment of a service's keys to endpoints, as stored in one row.
 //!
-//! One row holds the whole assignment of a service. It is changed only by the
-//! leader, under the condition that neither the row nor the leader has changed.
-//! Whoever may hold keys stands in the row before anything is granted to it.
+//! Only the leader changes the row, on condition that neither the row nor the leader has
+//! changed. An endpoint is entered in the row before any key is granted to it.
 
 mod packed;
 mod stored;
@@ -16,28 +15,29 @@
 /// Last key of the key space; the first is zero.
 pub const LAST_KEY: u16 = u16::MAX;
 
-/// Most ranges of one assignment of up to 960 endpoints.
+/// Most ranges of an assignment with up to 960 endpoints.
 ///
-/// In its short form a range takes up to 18 bytes and a start of an endpoint 30. With 750
+/// In the short form a range takes up to 18 bytes and a start of an endpoint 30. With 750
 /// endpoints and all ranges moving, the row has 46,000 of the 65,536 bytes that the store
-/// allows a row.
+/// allows.
 pub const MAX_RANGES: usize = 1_200;
 
-/// Most ranges of the assignment of a service with so many endpoints: with more than 960,
-/// each has one and every fourth another.
+/// Most ranges of an assignment with this number of endpoints: with more than 960, one for each
+/// endpoint and another for every fourth.
 #[must_use]
 pub const fn max_ranges(endpoints: usize) -> usize {
     let more = endpoints + endpoints / 4;
     if more > MAX_RANGES { more } else { MAX_RANGES }
 }
 
-/// Most bytes of a row, as the store allows.
+/// Size limit of a row in the store, in bytes.
 pub const MAX_ROW_BYTES: usize = 65_536;
 
-/// Fences set aside for one move: seals below, the new owner's on top.
+/// Number of fences that are allocated for one move: the highest is the new owner's, the others
+/// are for seals.
 ///
-/// Each attempt to seal the old owner takes a fence of its own, so that a lost
-/// attempt that is carried out late is below the one that was confirmed.
+/// Each attempt to seal the old owner uses a fence of its own, so that a lost attempt that is
+/// carried out late has a lower fence than the confirmed one.
 pub const FENCES_PER_MOVE: u64 = 8;
 
 /// An endpoint together with the fence of its grant.
@@ -45,9 +45,9 @@
 pub struct Holder {
     /// Start of the endpoint.
     pub endpoint: EndpointStart,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Fence of the grant.
+    /// Fencing token of the grant.
     pub fence: u64,
 }
 
@@ -58,88 +58,90 @@
     pub first: u16,
     /// Last key.
     pub last: u16,
-    /// Who may hold the keys; nobody else does.
+    /// The only endpoint that may hold the keys.
     pub holder: Holder,
-    /// Who gets them once the holder is known to hold them no more.
+    /// Next owner, once the holder is known to hold the keys no more; `None` if the range does
+    /// not move.
     pub next: Option<Holder>,
 }
 
 impl Range {
-    /// Whether the range is being taken from its holder.
+    /// Whether the range is moving to another endpoint.
     #[must_use]
     pub const fn is_moving(&self) -> bool {
         self.next.is_some()
     }
 
-    /// Whether the two have a key in common.
+    /// Whether both ranges have a key in common.
     #[must_use]
     pub const fn overlaps(&self, other: &Self) -> bool {
         self.first <= other.last && other.first <= self.last
     }
 
-    /// Number of keys.
+    /// Number of keys in the range.
     #[must_use]
     pub fn width(&self) -> u32 {
         u32::from(self.last) - u32::from(self.first) + 1
     }
 }
 
-/// All ranges of a service, in order and without gaps.
+/// Assignment of all keys of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Assignment {
-    /// No fence at or above it was ever given.
+    /// Lowest fence that has never been allocated.
     pub next_fence: u64,
-    /// Ranges in ascending order; they cover all keys.
+    /// Ranges in ascending order that cover all keys without gaps; empty before the first
+    /// assignment.
     pub ranges: Vec<Range>,
 }
 
 impl Assignment {
-    /// Takes `count` fences; returns the highest of them.
+    /// Allocates `count` fences and returns the highest of them.
     pub fn allocate_fences(&mut self, count: u64) -> u64 {
         self.next_fence += count;
         self.next_fence - 1
     }
 
-    /// The range that holds `key`, if there are ranges at all.
+    /// Range that contains `key`; `None` if there are no ranges.
     #[must_use]
     pub fn range_at(&self, key: u16) -> Option<&Range> {
         let i = self.ranges.partition_point(|range| range.last < key);
         self.ranges.get(i)
     }
 
-    /// Endpoints that hold a range.
+    /// Number of endpoints that hold a range.
     #[must_use]
     pub fn holder_count(&self) -> usize {
         let holders = self.ranges.iter().map(|range| &range.holder.endpoint);
         holders.collect::<IndexSet<_>>().len()
     }
 
-    /// Writes the stored form.
+    /// Encodes the assignment in its stored form.
     ///
     /// # Errors
     ///
-    /// Only if a library cannot write it.
+    /// When a library fails to encode it.
     pub fn to_bytes(&self) -> Result<Vec<u8>, RowError> {
         stored::write(self)
     }
 
-    /// Whether the store takes the row.
+    /// Whether the row is within the size limit of the store.
     ///
-    /// Failure: endpoints are replaced one after the other, and the row names the old and
-    /// the new starts of them all. The store refuses a longer row, so no move ends, and keys
-    /// of endpoints that have left are served by nobody.
+    /// Failure: endpoints are replaced one after the other, and the row names the old and the
+    /// new starts of all of them. The store refuses a longer row, so no move ends, and the keys
+    /// of endpoints that have ended are served by nobody.
     #[must_use]
     pub fn fits_in_store(&self) -> bool {
         self.to_bytes()
             .is_ok_and(|bytes| bytes.len() <= MAX_ROW_BYTES)
     }
 
-    /// What leads from `before` to this one: the fence to draw next and the ranges
-    /// that `before` does not have, in the stored form of an assignment.
+    /// Delta from `before` to this assignment: the next fence and the ranges that `before` does
+    /// not have, in the stored form of an assignment.
     ///
     /// # Errors
     ///
-    /// Only if the library cannot write it.
+    /// When a library fails to encode it.
     pub fn changes_since(&self, before: &Self) -> Result<Vec<u8>, RowError> {
         let is_new = |range: &&Range| before.range_at(range.first) != Some(*range);
         let changed = Self {
@@ -149,11 +151,11 @@
         changed.to_bytes()
     }
 
-    /// This assignment with changes made by [`Assignment::changes_since`] on it.
+    /// This assignment with a delta applied that [`Assignment::changes_since`] made.
     ///
     /// # Errors
     ///
-    /// When the changes are malformed or do not fit.
+    /// When the delta is malformed or does not apply to this assignment.
     pub fn with_changes(&self, bytes: &[u8]) -> Result<Self, RowError> {
         let changed = stored::read(bytes)?;
         let mut ranges = self.ranges.clone();
@@ -167,79 +169,80 @@
         whole.check()
     }
 
-    /// The assignment, if each key belongs to just one of its ranges.
+    /// Returns the assignment if each key belongs to exactly one range and all fences are valid.
     fn check(self) -> Result<Self, RowError> {
-        let mut due = Some(0);
+        let mut expected_first = Some(0);
         for (i, range) in self.ranges.iter().enumerate() {
-            if due != Some(range.first) || range.last < range.first {
+            if expected_first != Some(range.first) || range.last < range.first {
                 return Err(RowError::Gap { range: i });
             }
-            due = range.last.checked_add(1);
-            if !self.has_sound_fences(range) {
+            expected_first = range.last.checked_add(1);
+            if !self.has_valid_fences(range) {
                 return Err(RowError::Fence { range: i });
             }
         }
-        if due.is_some() && !self.ranges.is_empty() {
+        if expected_first.is_some() && !self.ranges.is_empty() {
             let range = self.ranges.len();
             return Err(RowError::Gap { range });
         }
         Ok(self)
     }
 
-    /// Whether the fences of a range were drawn from this row, the next owner's last.
-    fn has_sound_fences(&self, range: &Range) -> bool {
+    /// Whether the fences of a range were allocated by this row, the next owner's last.
+    fn has_valid_fences(&self, range: &Range) -> bool {
         let held = range.holder.fence;
         let next = range.next.as_ref().map(|next| next.fence);
         let follows = |next: u64| next > held && next >= FENCES_PER_MOVE && next < self.next_fence;
         held < self.next_fence && next.is_none_or(follows)
     }
 
-    /// Reads the stored form.
+    /// Decodes the stored form.
     ///
     /// # Errors
     ///
-    /// When it is malformed, names an endpoint it does not list, or leaves keys out.
+    /// When it is malformed, names an endpoint that it does not list, leaves keys out or has an
+    /// invalid fence.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, RowError> {
         stored::read(bytes)?.check()
     }
 }
 
-/// Why a row of the own table was not taken.
+/// Error in the stored form of an assignment.
 #[derive(Debug, thiserror::Error)]
 pub enum RowError {
-    /// Not of the stored form.
+    /// The long form, JSON, cannot be decoded.
     #[error("malformed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// Not of the short form.
+    /// The short form cannot be decoded.
     #[error("malformed: {0}")]
     MalformedShort(#[from] postcard::Error),
-    /// Not of the packed form.
+    /// The packed form cannot be inflated.
     #[error("malformed: {0}")]
     MalformedPacked(#[from] std::io::Error),
-    /// The parts of a packed row do not go together.
+    /// The parts of a packed row are inconsistent.
     #[error("malformed: part {part} of a packed row is too short")]
     PackedPart {
-        /// Which part.
+        /// Name of the part.
         part: &'static str,
     },
     /// A range names an endpoint that the row does not list.
     #[error("range {range} names endpoint number {endpoint}, which the row does not list")]
     UnknownEndpoint {
-        /// Place of the range.
+        /// Index of the range.
         range: usize,
-        /// Number of the endpoint.
+        /// Index of the endpoint.
         endpoint: usize,
     },
-    /// A fence that was never drawn, or a next owner's that is not above its holder's.
+    /// A fence was never allocated, or the next owner's is not above the holder's.
     #[error("range {range} has a fence that this row cannot have given")]
     Fence {
-        /// Place of the range.
+        /// Index of the range.
         range: usize,
     },
     /// A key belongs to no range or to two.
     #[error("range {range} does not begin where the one before it ends")]
     Gap {
-        /// Place of the range.
+        /// Index of the range.
         range: usize,
     },
 }
--- a/crates/citronway-core/src/gateway/assignment/packed.rs
+++ b/crates/citronway-core/src/gateway/assignment/packed.rs
@@ -1,5 +1,4 @@
-//! The packed form of an assignment: columns of like numbers, each told as what it adds to the
-//! one before, and deflated.
+//! Packed form of an assignment: delta-encoded columns of numbers, compressed with deflate.
 
 use std::io::{Read as _, Write as _};
 use std::net::SocketAddr;
@@ -13,31 +12,32 @@
 use super::{Assignment, Holder, Range, RowError};
 use crate::ids::{EndpointName, EndpointStart};
 
-/// Most bytes of the columns before they are deflated; a row that has more is refused.
-const MOST_BYTES: u64 = 4 * 1024 * 1024;
+/// Size limit of the uncompressed columns, in bytes; longer rows are refused.
+const MAX_COLUMN_BYTES: u64 = 4 * 1024 * 1024;
 
-/// The columns.
+/// Columns of the packed form. The order and types of the fields are the stored format.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Packed {
     next_fence: u64,
     names: Vec<EndpointName>,
     addresses: Vec<SocketAddr>,
-    /// When each start began, added to the one before; zero stands for none.
+    /// Time at which each start began, as the difference to the previous one; a time of zero
+    /// stands for an unknown one.
     births: Vec<i64>,
-    /// Number of keys of each range, less one.
+    /// Number of keys of each range, minus one.
     widths: Vec<u16>,
     holders: Places,
-    /// Ranges that move: how many lie between each and the one before.
+    /// For each moving range, the number of ranges between it and the previous moving one.
     moving: Vec<u32>,
     next: Places,
 }
 
-/// Place and fence of one holder after the other.
+/// Columns of holders: the index of the endpoint and the fence of each.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Places {
-    /// Added to the one before.
+    /// Index of each holder's endpoint, as the difference to the previous one.
     places: Vec<i64>,
-    /// Added to the one before.
+    /// Fence of each holder, as the difference to the previous one.
     fences: Vec<i64>,
 }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Writes it behind what is in `buf`.
+    /// Appends the compressed columns to `buf`.
     pub(super) fn write(&self, buf: Vec<u8>) -> Result<Vec<u8>, RowError> {
         let columns = postcard::to_stdvec(self)?;
         let mut deflated = DeflateEncoder::new(buf, Compression::fast());
@@ -85,7 +85,7 @@
 
     pub(super) fn read(bytes: &[u8]) -> Result<Self, RowError> {
         let mut columns = Vec::new();
-        let mut inflated = DeflateDecoder::new(bytes).take(MOST_BYTES);
+        let mut inflated = DeflateDecoder::new(bytes).take(MAX_COLUMN_BYTES);
         inflated.read_to_end(&mut columns)?;
         Ok(postcard::from_bytes(&columns)?)
     }
@@ -177,7 +177,7 @@
     }
 }
 
-/// What each number adds to the one before.
+/// Difference of each number to the previous one, the first one to zero.
 fn differences(numbers: impl Iterator<Item = u64>) -> Vec<i64> {
     let mut before = 0_u64;
     let difference = |number: u64| {
@@ -188,7 +188,7 @@
     numbers.map(difference).collect()
 }
 
-/// The numbers whose [`differences`] these are.
+/// Inverse of [`differences`].
 fn sums(differences: &[i64]) -> Vec<u64> {
     let mut sum = 0_u64;
     let add = |added: &i64| {
--- a/crates/citronway-core/src/gateway/assignment/stored.rs
+++ b/crates/citronway-core/src/gateway/assignment/stored.rs
@@ -1,5 +1,5 @@
-//! Stored forms of an assignment: one that any version reads, a short one for large services,
-//! and a packed one for services whose short form the store does not take.
+//! Stored forms of an assignment: a long one that all versions read, a short one for large
+//! services, and a packed one for services whose short form exceeds the store's size limit.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use super::{Assignment, Holder, MAX_ROW_BYTES, Range, RowError};
 use crate::ids::{EndpointName, EndpointStart};
 
-/// First byte of the short form; the long one is JSON and begins with a brace.
+/// First byte of the short form. The long form is JSON and begins with a brace.
 const SHORT: u8 = 2;
 
 /// First byte of the packed form.
@@ -18,12 +18,12 @@
 
 /// Length up to which the long form is written, in bytes.
 ///
-/// An instance of the version before, which runs beside this one while all are restarted in
-/// turn, reads the long form alone. Rows that it could write itself have at most 65,536
-/// bytes; three quarters leave room for moves of that time.
+/// During a rolling restart, instances of the previous version run beside this one and read only
+/// the long form. They can write rows of at most 65,536 bytes; a limit of three quarters of that
+/// leaves room for the moves during the restart.
 const LONG_UP_TO: usize = 48_000;
 
-/// Writes the stored form.
+/// Encodes an assignment in the most widely readable form that is short enough.
 pub(super) fn write(assignment: &Assignment) -> Result<Vec<u8>, RowError> {
     let starts = Starts::of(assignment);
     let long = serde_json::to_vec(&Stored::new(assignment, &starts))?;
@@ -32,14 +32,14 @@
     }
     let short = Short::new(assignment, &starts);
     let short = postcard::to_extend(&short, vec![SHORT])?;
-    // Versions before this one read the short form as long as the store takes it.
+    // Earlier versions read the short form, so it is used while it fits into a row.
     if short.len() <= MAX_ROW_BYTES {
         return Ok(short);
     }
     Packed::new(assignment).write(vec![PACKED])
 }
 
-/// Reads a stored form; what it says is not checked.
+/// Decodes any stored form, without validating the ranges and fences.
 pub(super) fn read(bytes: &[u8]) -> Result<Assignment, RowError> {
     match bytes.split_first() {
         Some((&SHORT, short)) => postcard::from_bytes::<Short>(short)?.assignment(),
@@ -48,7 +48,7 @@
     }
 }
 
-/// Starts of endpoints with their addresses, each once.
+/// Distinct starts of endpoints with their addresses.
 pub(super) struct Starts<'a>(IndexSet<(&'a EndpointStart, SocketAddr)>);
 
 impl<'a> Starts<'a> {
@@ -61,35 +61,36 @@
         Self(starts.collect())
     }
 
-    /// All of them, in the order of their first range.
+    /// All starts, in the order of their first range.
     pub(super) fn iter(&self) -> impl Iterator<Item = &(&'a EndpointStart, SocketAddr)> {
         self.0.iter()
     }
 
-    /// Place of a holder among them.
+    /// Index of a holder's start.
     pub(super) fn place(&self, holder: &Holder) -> usize {
         let place = self.0.get_index_of(&(&holder.endpoint, holder.address));
         place.unwrap_or_default()
     }
 }
 
-/// Long form: each start of an endpoint once, ranges as numbers.
+/// Long form: each start of an endpoint once, and ranges that refer to them by index.
 ///
-/// When the starts began stands in a list of its own: an instance of an earlier version reads
-/// the row without it. A row that such an instance wrote lacks the list, and its holders are
-/// starts of which nobody knows when they began. They are taken for ended and their keys are
-/// moved, with seal and release like those of any holder.
+/// The times at which the starts began are a separate list, which instances of earlier versions
+/// ignore. A row that such an instance wrote lacks the list, so the holders in it are starts of
+/// unknown age. They are assumed to have ended, and their keys are moved, with seal and release
+/// as for any holder.
 #[derive(Debug, Serialize, Deserialize)]
 struct Stored {
     next_fence: u64,
     endpoints: Vec<(EndpointName, SocketAddr)>,
-    /// In the order of `endpoints`; shorter where the last ones do not say.
+    /// Time at which each of `endpoints` began, in Unix milliseconds; `None` or missing if
+    /// unknown.
     #[serde(default)]
     born: Vec<Option<u64>>,
     ranges: Vec<StoredRange>,
 }
 
-/// First key, last key, place and fence of the holder, place and fence of the next.
+/// First key, last key, index and fence of the holder, index and fence of the next owner.
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredRange(u16, u16, usize, u64, Option<(usize, u64)>);
 
@@ -149,8 +150,8 @@
     }
 }
 
-/// Short form, written by `postcard`: numbers in as many bytes as they need. Fences are told
-/// as what they lack to the fence to draw next, which keeps them small.
+/// Short form, encoded by `postcard` with variable-length integers. Fences are stored as their
+/// distance below the next fence, which keeps them small.
 #[derive(Debug, Serialize, Deserialize)]
 struct Short {
     next_fence: u64,
@@ -158,7 +159,7 @@
     ranges: Vec<ShortRange>,
 }
 
-/// First key, last key, place and fence of the holder, place and fence of the next.
+/// First key, last key, index and fence of the holder, index and fence of the next owner.
 #[derive(Debug, Serialize, Deserialize)]
 struct ShortRange(u16, u16, u32, u64, Option<(u32, u64)>);
 
--- a/crates/citronway-core/src/gateway/crashes/entry.rs
+++ b/crates/citronway-core/src/gateway/crashes/entry.rs
@@ -1,38 +1,38 @@
-//! What is remembered of one work.
+//! Crash record of one work.
 
 use crate::gateway::pace::EndpointTag;
 use crate::time::Mono;
 
-/// Crashes that are remembered of one work; the oldest are forgotten.
-const MOST_CRASHES: usize = 8;
+/// Most crashes that are kept of one work; the oldest are dropped.
+const MAX_CRASHES: usize = 8;
 
-/// A crash of an endpoint that had the work.
+/// A crash of an endpoint while it had the work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Crash {
     /// Start of the endpoint.
     pub endpoint: EndpointTag,
-    /// When it was heard of.
+    /// When this instance learned of the crash.
     pub at: Mono,
 }
 
-/// How the work is treated.
+/// Whether work is sent or refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(super) enum State {
-    /// It is sent.
+    /// The work is sent.
     #[default]
     Suspect,
-    /// It is refused until a moment, and then sent again; one more crash and it is refused
-    /// anew, for longer.
+    /// The work is refused until `until` and then sent again. One more crash, and it is refused
+    /// for longer.
     Refused {
         since: Mono,
         until: Mono,
-        /// How often it was taken as harmful.
+        /// Number of times that the work was found harmful.
         times: u32,
     },
 }
 
 impl State {
-    /// How often the work was taken as harmful.
+    /// Number of times that the work was found harmful.
     pub(super) const fn times(self) -> u32 {
         match self {
             Self::Suspect => 0,
@@ -41,32 +41,34 @@
     }
 }
 
-/// One work.
+/// Crash record of one work.
 #[derive(Debug, Default)]
 pub(super) struct Entry {
     pub crashes: Vec<Crash>,
     pub state: State,
-    /// When the leader first told of it.
-    pub heard: Mono,
-    /// When the leader last told of it.
-    pub told: Mono,
-    /// The leader or the store says that it is harmful.
-    pub was_told: bool,
+    /// When the leader first reported the work.
+    pub first_reported_at: Mono,
+    /// When the leader last reported the work.
+    pub last_reported_at: Mono,
+    /// Whether the leader or the store states that the work is harmful.
+    pub is_confirmed: bool,
 }
 
 impl Entry {
-    /// Whether a crash of this start of an endpoint is known.
+    /// Whether a crash of this start of an endpoint is recorded.
     pub(super) fn has(&self, endpoint: EndpointTag) -> bool {
         self.crashes.iter().any(|crash| crash.endpoint == endpoint)
     }
 
+    /// Records a crash.
     pub(super) fn add(&mut self, crash: Crash) {
-        if self.crashes.len() >= MOST_CRASHES {
+        if self.crashes.len() >= MAX_CRASHES {
             self.crashes.remove(0);
         }
         self.crashes.push(crash);
     }
 
+    /// Marks the work as harmful for the `times`th time and refuses it for `refused_ms`.
     pub(super) fn refuse(&mut self, now: Mono, times: u32, refused_ms: u64) {
         self.state = State::Refused {
             since: now,
@@ -75,13 +77,14 @@
         };
     }
 
+    /// Whether the work was found harmful at least once.
     pub(super) fn was_harmful(&self) -> bool {
         self.state != State::Suspect
     }
 
-    /// When it was last heard of.
+    /// When the work was last reported, by a crash or by the leader.
     pub(super) fn last(&self) -> Mono {
         let crash = self.crashes.last().map(|crash| crash.at);
-        crash.unwrap_or_default().max(self.heard)
+        crash.unwrap_or_default().max(self.first_reported_at)
     }
 }
--- a/crates/citronway-core/src/gateway/crashes/fingerprint.rs
+++ b/crates/citronway-core/src/gateway/crashes/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What tries of the same work have in common.
+//! Keyed hashes that identify the same work across attempts.
 
 use std::fmt;
 use std::hash::Hasher as _;
@@ -9,9 +9,9 @@
 /// Length of a key, in bytes.
 const KEY_BYTES: usize = 16;
 
-/// A hash of a request's content, the same for each try of it under one key.
+/// A keyed hash of a request's content, the same for each attempt under one key.
 ///
-/// It tells nothing of the content to whoever lacks the key, so logs may show it.
+/// It reveals nothing about the content without the key, so logs may show it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -36,20 +36,20 @@
     }
 }
 
-/// A key that all instances of a fleet share and callers do not know.
+/// Hash key that all instances of a fleet share and that callers do not know.
 ///
-/// Failure guarded against: a caller makes requests that have the fingerprint of another's
-/// work, crashes endpoints with them, and the other's work is refused. Without the key it
-/// cannot find such requests.
+/// Failure guarded against: a caller crafts requests with the fingerprint of another caller's
+/// work and crashes endpoints with them, and the other caller's work is refused. Without the
+/// key it cannot find such requests.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct FingerprintKey([u8; KEY_BYTES]);
 
 impl FingerprintKey {
-    /// Takes bytes that were drawn at random.
+    /// Creates a key from random bytes.
     #[must_use]
-    pub const fn new(drawn: [u8; KEY_BYTES]) -> Self {
-        Self(drawn)
+    pub const fn new(bytes: [u8; KEY_BYTES]) -> Self {
+        Self(bytes)
     }
 }
 
@@ -77,37 +77,37 @@
     }
 }
 
-/// A text that is no key.
+/// Error in the text form of a key.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    /// Not as many digits as a key has.
-    #[error("a key has 32 hexadecimal digits, not {0}")]
+    /// Wrong number of digits.
+    #[error("expected a key of 32 hexadecimal digits, found {0} bytes")]
     Length(usize),
-    /// Other characters than hexadecimal digits.
-    #[error("a key has hexadecimal digits only: {0}")]
+    /// Characters other than hexadecimal digits.
+    #[error("expected a key of hexadecimal digits only: {0}")]
     Digits(#[source] std::num::ParseIntError),
 }
 
-/// Content of a request, as far as tries of the same work share it.
+/// Content of a request that all attempts at the same work share.
 #[derive(Debug, Clone, Copy)]
 pub struct Work<'a> {
-    /// Credentials of who sends it, empty where there are none: no caller can bring the work
-    /// of another into question. Its address says nothing: the same work comes by others.
+    /// Credentials of the caller, empty if there are none, so that no caller can incriminate the
+    /// work of another. The address is left out, since the same work may arrive from several.
     pub caller: &'a [u8],
-    /// Host that it is for.
+    /// Host that the request is for.
     pub host: &'a str,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Key, for a service whose endpoints divide the keys.
+    /// Key; `None` if the service is not sharded.
     pub key: Option<u16>,
-    /// Body, whole.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
 impl Work<'_> {
-    /// Its fingerprint.
+    /// Fingerprint of the work under a key.
     #[must_use]
     pub fn fingerprint(&self, key: &FingerprintKey) -> Fingerprint {
         let mut hasher = SipHasher24::new_with_key(&key.0);
@@ -121,7 +121,8 @@
     }
 }
 
-/// Adds a part with its length, so that no two divisions of the same bytes are alike.
+/// Adds a part with its length, so that different divisions of the same bytes have different
+/// hashes.
 fn add(hasher: &mut SipHasher24, bytes: &[u8]) {
     hasher.write_u64(bytes.len() as u64);
     hasher.write(bytes);
--- a/crates/citronway-core/src/gateway/crashes/known.rs
+++ b/crates/citronway-core/src/gateway/crashes/known.rs
@@ -1,30 +1,30 @@
-//! What an instance's traffic goes by.
+//! Snapshot of the crash records, by which an instance decides about requests.
 
 use indexmap::IndexMap;
 
 use super::{Fingerprint, FingerprintKey};
 use crate::time::Mono;
 
-/// What is known of crashes, as the traffic goes by it.
+/// Harmful and suspect work, as needed to decide about requests.
 #[derive(Debug, Clone, Default)]
 pub struct CrashSnapshot {
-    /// Key of fingerprints; none until the stored row was seen.
+    /// Key of the fingerprints; `None` until the stored row has been read.
     pub key: Option<FingerprintKey>,
-    /// Harmful work, and until when it is refused.
+    /// Harmful work, and the time until which it is refused.
     pub refused: IndexMap<Fingerprint, Mono>,
     /// Work that was at an endpoint that crashed, harmful or not, and when that was last
-    /// heard of.
+    /// reported.
     pub suspects: IndexMap<Fingerprint, Mono>,
 }
 
 impl CrashSnapshot {
-    /// Whether work is refused.
+    /// Whether the work is refused now.
     #[must_use]
     pub fn is_refused(&self, now: Mono, work: Fingerprint) -> bool {
         self.refused.get(&work).is_some_and(|until| now < *until)
     }
 
-    /// Whether work was at an endpoint that crashed, and was not answered since.
+    /// Whether the work was at an endpoint that crashed and has not been answered since.
     #[must_use]
     pub fn is_suspect(&self, work: Fingerprint) -> bool {
         self.suspects.contains_key(&work)
--- a/crates/citronway-core/src/gateway/crashes/mod.rs
+++ b/crates/citronway-core/src/gateway/crashes/mod.rs
@@ -1,14 +1,18 @@
-//! Requests that crash the endpoints that run them.
+//! Detection and quarantine of requests that crash the endpoints that run them.
 //!
-//! Each try of a caller has an id of its own and may come to any instance. What tries of one
-//! work have in common is their content; a keyed hash of it is their [`Fingerprint`].
+//! Work means the content of a request. Each attempt of a caller has a request id of its own and
+//! may arrive at any instance, but all attempts at the same work have the same content, and so
+//! the same [`Fingerprint`], a keyed hash of it.
 //!
-//! Instances tell each other [`Sign`]s of crashes; a [`Ledger`] counts them by work. Work that
-//! was at [`HARMFUL_CRASHES`] endpoints when they crashed is refused, for a time that doubles;
-//! work that an endpoint runs to its end is cleared at once. Until then it goes out one copy
-//! at a time in the whole fleet: the leader grants [`Trials`]. Most work that is at an endpoint
-//! that crashes is innocent: it is told from harmful work by that answer, and by crashes of
-//! many endpoints at a time, which no request causes.
+//! Instances exchange [`Sign`]s of crashes, and a [`Ledger`] counts them by work. Work that was
+//! at [`HARMFUL_CRASHES`] endpoints when they crashed is harmful: it is refused, for a time that
+//! grows with each further crash. Work that was at fewer is a suspect: only one copy of it at a
+//! time is sent in the whole fleet, as the leader grants [`Trials`]. An answer of an endpoint
+//! clears the work at once.
+//!
+//! Most work that is at an endpoint that crashes is innocent. It is distinguished from harmful
+//! work by an answer, or by the loss of many endpoints at the same time, which no request
+//! causes.
 
 mod entry;
 mod fingerprint;
--- a/crates/citronway-core/src/gateway/crashes/remembered.rs
+++ b/crates/citronway-core/src/gateway/crashes/remembered.rs
@@ -1,12 +1,12 @@
-//! Which suspects the store remembers beyond the end of all instances.
+//! Persistence of suspects in the store, so that they survive a restart of all instances.
 
 use super::entry::Crash;
 use super::{Ledger, MAX_SUSPECTS, StoredSuspect};
 use crate::time::Mono;
 
 impl Ledger {
-    /// Takes a suspect that the store remembers, at a start; it tells no loss of machines, and
-    /// its crashes count from now.
+    /// Restores a suspect from the store at startup. Its crashes count from now, and they are no
+    /// evidence for a loss of machines.
     pub fn restore_suspect(&mut self, now: Mono, suspect: &StoredSuspect) {
         if !self.has_room(suspect.work) {
             return;
@@ -22,11 +22,10 @@
         }
     }
 
-    /// Suspects that the store is to remember, the newest; work that has just become harmful
-    /// too.
+    /// Suspects to be stored: the newest ones, and work that has just become harmful.
     ///
-    /// Failure guarded against: work is taken as harmful, is no suspect any more and not yet
-    /// told of as harmful, and the row that is written in between names it nowhere.
+    /// Failure guarded against: work becomes harmful, so that it is no longer a suspect but not
+    /// yet reported as harmful, and a row that is written in between does not name it.
     #[must_use]
     pub fn suspects_to_store(&self, now: Mono) -> Vec<StoredSuspect> {
         let settled = self.harmful(now);
--- a/crates/citronway-core/src/gateway/crashes/sign.rs
+++ b/crates/citronway-core/src/gateway/crashes/sign.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of crashes.
+//! Exchange of crash observations between instances.
 
 use std::collections::VecDeque;
 
@@ -10,16 +10,16 @@
 use crate::gateway::report::Report;
 use crate::ids::{InstanceName, Session, SessionId};
 
-/// Most signs that one report carries.
+/// Most signs in one report.
 pub const MAX_SIGNS_PER_REPORT: usize = 128;
 
-/// Reports that carry a sign: datagrams are lost now and then.
-const REPEATS: u8 = 8;
+/// Number of reports that carry each sign, since datagrams may be lost.
+const REPORTS_PER_SIGN: u8 = 8;
 
-/// Signs that wait to be told at most; later ones are not told.
-const MOST_WAITING: usize = 4_096;
+/// Most signs in the queue; further ones are dropped.
+const MAX_WAITING: usize = 4_096;
 
-/// What an instance saw of work that may crash endpoints.
+/// An instance's observation of work that may crash endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "sign", rename_all = "snake_case")]
 pub enum Sign {
@@ -37,30 +37,30 @@
     },
 }
 
-/// Signs on their way to other instances, each in several reports.
+/// Queue of signs to other instances; each is sent in several reports.
 #[derive(Debug, Default)]
 pub struct SignQueue {
-    /// Number of the first one that waits.
+    /// Sequence number of the first sign in the queue.
     first: u64,
     waiting: VecDeque<(Sign, u8)>,
 }
 
 impl SignQueue {
-    /// Adds a sign.
+    /// Adds a sign, unless the queue is full.
     pub fn push(&mut self, sign: Sign) {
-        if self.waiting.len() < MOST_WAITING {
-            self.waiting.push_back((sign, REPEATS));
+        if self.waiting.len() < MAX_WAITING {
+            self.waiting.push_back((sign, REPORTS_PER_SIGN));
         }
     }
 
-    /// Whether the next report would be the first that carries a sign.
+    /// Whether the next report would carry a sign that was in no report yet.
     #[must_use]
     pub fn has_unsent(&self) -> bool {
         let mut next = self.waiting.iter().take(MAX_SIGNS_PER_REPORT);
-        next.any(|(_, left)| *left == REPEATS)
+        next.any(|(_, left)| *left == REPORTS_PER_SIGN)
     }
 
-    /// Takes the signs of the next report, and the number of the first of them.
+    /// Takes the signs of the next report, with the sequence number of the first of them.
     pub fn take(&mut self) -> (u64, Vec<Sign>) {
         let first = self.first;
         let count = self.waiting.len().min(MAX_SIGNS_PER_REPORT);
@@ -77,18 +77,18 @@
     }
 }
 
-/// How far the signs of other instances were taken.
+/// Receiver of other instances' signs, which drops duplicates.
 #[derive(Debug, Default)]
 pub struct SignReceiver {
-    /// By instance: which start, and the number of the next sign.
+    /// By instance: its session and the sequence number of the next sign.
     next: IndexMap<InstanceName, (SessionId, u64)>,
 }
 
 impl SignReceiver {
-    /// Signs of a report that are new.
+    /// Signs of a report that were not received before.
     ///
-    /// Failure guarded against: a sign is told several times, and one that an answer has
-    /// settled since is taken again. Each counts once, by its number.
+    /// Failure guarded against: a sign is sent several times and is applied again after an
+    /// answer has cleared its work. Each sign counts once, by its sequence number.
     pub fn new_signs<'a>(&mut self, report: &'a Report) -> &'a [Sign] {
         let from = Session {
             instance: report.instance.clone(),
@@ -97,7 +97,8 @@
         self.new_signs_from(&from, report.first_sign, &report.signs)
     }
 
-    /// The same for signs of any message; `first` is the number of the first of them.
+    /// Signs of a message that were not received before; `first` is the sequence number of the
+    /// first sign in the message.
     pub fn new_signs_from<'a>(
         &mut self,
         from: &Session,
--- a/crates/citronway-core/src/gateway/crashes/stored.rs
+++ b/crates/citronway-core/src/gateway/crashes/stored.rs
@@ -1,25 +1,25 @@
-//! The stored row that all instances of a fleet share.
+//! Stored form of the crash records, which all instances of a fleet share.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Fingerprint, FingerprintKey};
 use crate::gateway::pace::EndpointTag;
 
-/// The row as it stands in the store.
+/// The stored row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredCrashes {
-    /// Key of fingerprints.
+    /// Key of the fingerprints.
     pub key: FingerprintKey,
-    /// Work that is refused, or was and is tried again.
+    /// Harmful work, whether it is refused now or is being tried again.
     #[serde(default)]
     pub refused: Vec<RefusedWork>,
-    /// Work under suspicion. An instance of an earlier version writes none.
+    /// Suspects. An instance of an earlier version writes none.
     #[serde(default)]
     pub suspects: Vec<StoredSuspect>,
 }
 
 impl StoredCrashes {
-    /// Whether it says all that another one does of work under suspicion.
+    /// Whether the row contains all of these suspects with all of their endpoints.
     #[must_use]
     pub fn covers(&self, suspects: &[StoredSuspect]) -> bool {
         let known = |suspect: &StoredSuspect| {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Work that was at endpoints that crashed, and was not answered since.
+/// Work that was at endpoints that crashed and has not been answered since.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StoredSuspect {
     /// Which work.
@@ -39,11 +39,11 @@
     pub endpoints: Vec<EndpointTag>,
 }
 
-/// Work that was taken as harmful.
+/// Work that was found harmful.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RefusedWork {
     /// Which work.
     pub work: Fingerprint,
-    /// How often it was taken as harmful.
+    /// Number of times that it was found harmful.
     pub times: u32,
 }
--- a/crates/citronway-core/src/gateway/crashes/trials.rs
+++ b/crates/citronway-core/src/gateway/crashes/trials.rs
@@ -1,6 +1,7 @@
-//! Which copy of work under suspicion is sent: one at a time in the whole fleet.
+//! Trials of suspect work: one copy of it at a time is sent in the whole fleet.
 //!
-//! The leader grants trials. An instance that no leader answers goes by [`may_try_without_leader`].
+//! The leader grants trials. An instance without an answer of a leader decides by
+//! [`may_try_without_leader`].
 
 use indexmap::IndexMap;
 
@@ -9,64 +10,65 @@
 use crate::ids::SessionId;
 use crate::time::Mono;
 
-/// Trials that are remembered at most; no more are granted beyond it.
-const MOST_OPEN: usize = 4_096;
+/// Most open trials; further ones are not granted.
+const MAX_OPEN: usize = 4_096;
 
-/// Time after an answered trial in which copies need none, in milliseconds: by then all
-/// instances have heard that the work is cleared.
+/// Time after an answered trial in which copies need no trial, in milliseconds: after it all
+/// instances know that the work is cleared.
 const CLEARED_MS: u64 = 2_000;
 
-/// Time in which a new leader grants no trial, in milliseconds: most that its predecessor
-/// granted are done then.
+/// Time for which a new leader grants no trial, in milliseconds: most trials that the former
+/// leader granted have ended by then.
 const FORMER_TRIAL_MS: u64 = 500;
 
-/// Longest time of a trial whose end is not told, in milliseconds.
-const LONGEST_MS: u64 = 15_000;
+/// Longest duration of a trial whose end is not reported, in milliseconds.
+const MAX_TRIAL_MS: u64 = 15_000;
 
-/// Shortest time to come back, in milliseconds: news of the trial's end are with all then.
-const MIN_COME_BACK_MS: u64 = 100;
+/// Shortest retry-after time of a refused copy, in milliseconds: by then all instances know of
+/// the trial's end.
+const MIN_RETRY_MS: u64 = 100;
 
-/// Steps in which copies that were refused come back.
+/// Number of steps over which the retries of refused copies are spread.
 const SPREAD_STEPS: u64 = 16;
 
-/// Most turns in which instances without a leader try work.
-const MOST_TURNS: u64 = 16;
+/// Most time slices in a cycle in which instances without a leader try work.
+const MAX_TIME_SLICES: u64 = 16;
 
-/// Length of such a turn, in milliseconds.
+/// Length of a time slice in which instances without a leader may try work, in milliseconds.
 pub const TIME_SLICE_MS: u64 = 500;
 
-/// One request of one process for a trial.
+/// Identity of a request for a trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TrialId {
-    /// The process.
+    /// Session of the process that sent the request.
     pub session: SessionId,
-    /// Grows with each request of the process.
+    /// Number that grows with each request of the process.
     pub number: u64,
 }
 
 /// A request for a trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TrialRequest {
-    /// Who asks.
+    /// Identity of the request.
     pub id: TrialId,
-    /// Work that is to be tried.
+    /// Work to be tried.
     pub work: Fingerprint,
-    /// Time after which it is most likely done, in milliseconds.
+    /// Time after which the trial has most likely ended, in milliseconds.
     pub expected_ms: u64,
-    /// Time after which its caller no longer waits, in milliseconds.
+    /// Time after which the caller no longer waits, in milliseconds.
     pub limit_ms: u64,
 }
 
-/// What is decided about a request for a trial.
+/// Decision about a request for a trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialGrant {
-    /// It may be sent; the end is to be told.
+    /// The copy may be sent, and its end must be reported.
     Granted,
-    /// It may be sent, and so may all others: an endpoint has answered the work.
+    /// This and all other copies may be sent, since an endpoint has answered the work.
     Cleared,
-    /// Another copy is being tried.
+    /// Another copy is under trial.
     Busy {
-        /// Time after which that one is most likely done, in milliseconds.
+        /// Time after which that trial has most likely ended, in milliseconds.
         for_ms: u64,
     },
 }
@@ -76,15 +78,16 @@
 pub enum TrialEnd {
     /// An endpoint ran the work to its end.
     Answered,
-    /// Its endpoint crashed.
+    /// The endpoint crashed.
     Crashed {
         /// Start of the endpoint.
         endpoint: EndpointTag,
     },
-    /// It did not run, or it is not known.
+    /// The work did not run, or it is unknown whether it ran.
     Inconclusive,
 }
 
+/// An open trial.
 #[derive(Debug, Clone, Copy)]
 struct Trial {
     id: TrialId,
@@ -95,17 +98,17 @@
 /// Trials of the whole fleet.
 #[derive(Debug, Default)]
 pub struct Trials {
-    /// Until then none is granted.
+    /// Earliest time of a grant.
     not_before: Mono,
     open: IndexMap<Fingerprint, Trial>,
     cleared: IndexMap<Fingerprint, Mono>,
 }
 
 impl Trials {
-    /// None so far, and none is granted for a while.
+    /// Creates the trials of a new leader, which grants none for [`FORMER_TRIAL_MS`].
     ///
-    /// Failure guarded against: the leader changes while a copy is being tried, and the next
-    /// one, which knows nothing of it, grants another.
+    /// Failure guarded against: the leader changes while a copy is under trial, and the new
+    /// leader, which does not know of it, grants another trial.
     #[must_use]
     pub fn for_new_leader(now: Mono) -> Self {
         Self {
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Decides about a request for a trial; the same request gets the same answer.
+    /// Decides about a request for a trial. A repeated request gets the same answer.
     pub fn request(&mut self, now: Mono, req: &TrialRequest) -> TrialGrant {
         if self.is_cleared(now, req.work) {
             return TrialGrant::Cleared;
@@ -135,13 +138,13 @@
         let trial = Trial {
             id: req.id,
             expected: now.plus(req.expected_ms),
-            until: now.plus(req.limit_ms.min(LONGEST_MS)),
+            until: now.plus(req.limit_ms.min(MAX_TRIAL_MS)),
         };
         self.open.insert(req.work, trial);
         TrialGrant::Granted
     }
 
-    /// Notes the end of a trial.
+    /// Records the end of a trial.
     pub fn record_end(&mut self, now: Mono, id: TrialId, work: Fingerprint, end: TrialEnd) {
         if self.open.get(&work).is_some_and(|open| open.id == id) {
             self.open.swap_remove(&work);
@@ -152,7 +155,8 @@
         }
     }
 
-    /// Notes that an endpoint crashed with the work: an earlier answer no longer clears it.
+    /// Records that an endpoint crashed with the work, so that an earlier answer no longer clears
+    /// it.
     pub fn record_crash(&mut self, work: Fingerprint) {
         self.cleared.swap_remove(&work);
     }
@@ -163,44 +167,45 @@
     }
 
     fn has_room(&mut self, now: Mono) -> bool {
-        if self.open.len() < MOST_OPEN {
+        if self.open.len() < MAX_OPEN {
             return true;
         }
         self.open.retain(|_, open| now < open.until);
-        self.open.len() < MOST_OPEN
+        self.open.len() < MAX_OPEN
     }
 }
 
-/// Time after which a copy that was not sent may come again, in milliseconds; `busy_ms` is
-/// the time that the trial of another one most likely takes, `left_ms` what is left of the
-/// caller's, `number` tells copies apart.
+/// Time after which a copy that was not sent may be retried, in milliseconds.
 ///
-/// Failure guarded against: copies that were refused come back at one moment. They are spread
-/// over half of the time again.
+/// `busy_ms` is the expected remaining time of the other copy's trial, `left_ms` is the remaining
+/// time of the caller, and `number` distinguishes copies.
+///
+/// Failure guarded against: refused copies are retried at the same time. So the retries are
+/// spread over another half of the time.
 #[must_use]
 pub fn copy_retry_after_ms(busy_ms: u64, left_ms: u64, number: u64) -> u64 {
-    let soonest = busy_ms.max(MIN_COME_BACK_MS);
+    let soonest = busy_ms.max(MIN_RETRY_MS);
     let spread = soonest / 2 * (number % SPREAD_STEPS) / SPREAD_STEPS;
-    (soonest + spread).min(left_ms / 3).max(MIN_COME_BACK_MS)
+    (soonest + spread).min(left_ms / 3).max(MIN_RETRY_MS)
 }
 
-/// Order of an instance among those that it knows.
+/// Position of an instance among those that it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InstancePosition {
-    /// Instances that come before it.
+    /// Number of instances that come before it.
     pub before: u64,
-    /// Instances, itself included.
+    /// Number of instances, itself included.
     pub total: u64,
 }
 
-/// Whether an instance may try work without the leader; `heard` is when the last crash of
-/// the work was heard of.
+/// Whether an instance may try work without the leader; `crash_seen_at` is when it learned of
+/// the last crash of the work.
 ///
-/// Failure guarded against: no leader answers, as in an outage of the store, and work that
-/// was beside harmful work is refused until one does. All instances hear of a crash within a
-/// fraction of a turn, so no two of them with different turns try the work together.
+/// Failure guarded against: no leader answers, as in an outage of the store, and innocent work
+/// that ran beside harmful work is refused until one does. All instances learn of a crash within
+/// a fraction of a time slice, so no two instances with different slices try the work at once.
 #[must_use]
-pub fn may_try_without_leader(now: Mono, heard: Mono, place: InstancePosition) -> bool {
-    let turns = place.total.clamp(1, MOST_TURNS);
-    now.since(heard) / TIME_SLICE_MS % turns == place.before % turns
+pub fn may_try_without_leader(now: Mono, crash_seen_at: Mono, position: InstancePosition) -> bool {
+    let slices = position.total.clamp(1, MAX_TIME_SLICES);
+    now.since(crash_seen_at) / TIME_SLICE_MS % slices == position.before % slices
 }
