--- a/crates/citronway-core/tests/gateway_leader_moves.rs
+++ b/crates/citronway-core/tests/gateway_leader_moves.rs
@@ -1,4 +1,4 @@
-//! Moves of keys: beside other leaders, and of ranges that are on their way already.
+//! Moves of keys: beside former leaders, and of ranges that already move.
 
 use citronway_core::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, Range};
 use citronway_core::gateway::leader::{
@@ -33,7 +33,7 @@
     OrderResult::Done { handover: None }
 }
 
-/// All keys are with endpoint `a`; `b` and `c` have none.
+/// A leader whose endpoint `a` holds all keys; `b` and `c` hold none.
 struct Scene {
     leader: Leader,
     registry: Registry,
@@ -42,7 +42,7 @@
 }
 
 impl Scene {
-    fn new(rivals: FormerLeaderLimits) -> Self {
+    fn new(former_leaders: FormerLeaderLimits) -> Self {
         let listings = [listing("a", 1), listing("b", 2), listing("c", 3)];
         let mut registry = Registry::default();
         for listing in &listings {
@@ -65,7 +65,7 @@
         });
         let mut leader = Leader::new(LeaderSettings::default(), ServiceName::new("batch"));
         leader.update_row(row, Version(5));
-        leader.begin_term(NOW, rivals);
+        leader.begin_term(NOW, former_leaders);
         Self {
             leader,
             registry,
@@ -74,13 +74,13 @@
         }
     }
 
-    fn wish(&mut self, span: Span, to: &str) {
+    fn start_move(&mut self, span: Span, to: &str) {
         let to = EndpointStart::new(to, None);
         self.leader
             .start_moves(&[Move { span, to }], &self.registry);
     }
 
-    /// One step in which writes succeed.
+    /// Runs one step in which writes succeed and orders get `answer`; returns the orders.
     fn step(&mut self, answer: impl Fn(&Order) -> OrderResult) -> Vec<Order> {
         self.now = self.now.plus(STEP_MS);
         let mut orders = Vec::new();
@@ -101,7 +101,7 @@
         orders
     }
 
-    /// When the first seal was sent, within five seconds.
+    /// Runs up to 200 steps of 25 ms; returns when the first seal was sent, if one was.
     fn first_seal(&mut self) -> Option<Mono> {
         let seals = |orders: &[Order]| {
             let mut all = orders.iter();
@@ -111,7 +111,8 @@
     }
 }
 
-/// Guards against grants of a replaced leader at a start that saw no fence of its successor.
+/// Guards against grants of a replaced leader at an endpoint start that has not received a fence
+/// of the leader's successor.
 #[gtest]
 fn grants_go_on_connections_from_before_the_last_confirmation() {
     let cfg = LeaderSettings::default();
@@ -131,35 +132,35 @@
     expect_that!(latest, none().or(some(gt(confirmed))));
 }
 
-/// Guards against a seal that its holder forgets before an earlier leader renews.
+/// Guards against a seal that its holder loses in a restart before a former leader renews.
 #[gtest]
-fn nothing_is_sealed_while_an_earlier_leader_may_connect() -> Result<()> {
+fn nothing_is_sealed_while_a_former_leader_may_connect() -> Result<()> {
     let cfg = LeaderSettings::default();
     let mut scene = Scene::new(cfg.former_leader_limits(NOW));
     scene.step(done);
-    scene.wish(WHOLE, "b");
+    scene.start_move(WHOLE, "b");
     let sealed = scene.first_seal().or_fail()?;
     expect_that!(sealed, ge(NOW.plus(cfg.connect_limit_ms)));
     Ok(())
 }
 
-/// Guards against moves that wait for an earlier leader that is known to have stopped.
+/// Guards against moves that wait for a former leader that is known to have stopped.
 #[gtest]
 fn a_seal_waits_only_for_the_last_orders_of_a_leader_that_has_stopped() -> Result<()> {
     let cfg = LeaderSettings::default();
     let mut scene = Scene::new(cfg.former_leader_limits(NOW));
     scene.leader.former_leader_stopped(NOW);
     scene.step(done);
-    scene.wish(WHOLE, "b");
+    scene.start_move(WHOLE, "b");
     let sealed = scene.first_seal().or_fail()?;
     expect_that!(sealed, ge(NOW.plus(cfg.order_timeout_ms)));
     expect_that!(sealed, lt(NOW.plus(cfg.connect_limit_ms)));
     Ok(())
 }
 
-/// Guards against an endpoint that counts as lost because its leader may not connect.
+/// Guards against an endpoint that counts as lost because its leader may not open a connection.
 #[gtest]
-fn orders_without_a_connection_tell_nothing_of_the_endpoint() {
+fn orders_without_a_connection_are_no_failure_of_the_endpoint() {
     let mut scene = Scene::new(FormerLeaderLimits::default());
     for _ in 0..200 {
         scene.step(|_| OrderResult::NotConnected);
@@ -168,16 +169,16 @@
     expect_that!(scene.leader.is_lost(scene.now, &a), eq(false));
 }
 
-/// Guards against keys that are given on although their holder has let go of others only.
+/// Guards against keys that get a new owner although their holder has released only others.
 #[gtest]
-fn each_rest_of_a_moving_range_is_released_by_itself() {
+fn each_remainder_of_a_moving_range_is_released_by_itself() {
     let mut scene = Scene::new(FormerLeaderLimits::default());
     let held = |order: &Order| match order.kind {
         OrderKind::Release => OrderResult::Lost,
         OrderKind::Grant { .. } | OrderKind::Seal { .. } => done(order),
     };
     scene.step(held);
-    scene.wish(WHOLE, "b");
+    scene.start_move(WHOLE, "b");
     for _ in 0..20 {
         scene.step(held);
     }
@@ -185,7 +186,7 @@
         first: 20_000,
         last: 40_000,
     };
-    scene.wish(middle, "c");
+    scene.start_move(middle, "c");
     for _ in 0..80 {
         scene.step(|order| match order.span.first {
             0 => done(order),
--- a/crates/citronway-core/tests/gateway_leader_random.rs
+++ b/crates/citronway-core/tests/gateway_leader_random.rs
@@ -1,4 +1,4 @@
-//! Ownership of keys under drawn faults: no key ever has two holders.
+//! Randomized fault injection: no key ever has two holders.
 
 mod leader_world;
 
@@ -12,12 +12,12 @@
     endpoint_cuts: 0,
     crashes: 0,
     lost_writes: 0,
-    rebirths: 0,
-    lapses: 0,
-    ended_links: 0,
+    restarts: 0,
+    expirations: 0,
+    closed_links: 0,
 };
 
-/// Simulated steps of 25 ms: one minute and a half.
+/// Number of steps of 25 ms: 90 s of simulated time.
 const STEPS: usize = 3_600;
 
 fn run(seeds: std::ops::Range<u64>, faults: Faults) {
@@ -35,9 +35,9 @@
     assert!(world.moves > 10, "seed {seed}: only {} moves", world.moves);
 }
 
-/// An endpoint ends and another process starts at its address. A renewal that was meant
-/// for the first reaches the second, which does not look whom it names and holds the keys,
-/// while the leader has learnt of the end and gives them to another at once.
+/// An endpoint ends and another process starts at its address. A renewal for the first reaches
+/// the second, which does not check the addressee and holds the keys. The leader learns of the
+/// end and gives the keys to another endpoint at once.
 #[test]
 fn a_start_that_takes_orders_for_an_earlier_one() {
     let faults = Faults {
@@ -53,26 +53,24 @@
     }
 }
 
-/// Nothing fails; keys move all the time. Each is served but for the moment of its
-/// move.
+/// Without faults, and with keys that move all the time, a key is unserved only during its move.
 #[test]
 fn without_faults_keys_are_served() {
     let mut world = World::new(1, NO_FAULTS);
     for _ in 0..STEPS {
         assert_eq!(world.step(), None);
     }
-    let looks = STEPS as u64 * 66;
+    let checks = STEPS as u64 * 66;
     assert!(
-        world.unserved * 50 < looks,
-        "{} of {looks} unserved",
+        world.unserved * 50 < checks,
+        "{} of {checks} unserved",
         world.unserved
     );
 }
 
-/// A leader loses the store in the middle of a move. Its successor finishes the move,
-/// and a seal of the first leader arrives after the release: both endpoints run
-/// requests for the same key. Seals of the successor need fences above all of the
-/// first leader's.
+/// A leader loses the store during a move. Its successor finishes the move, and a seal of the
+/// first leader arrives after the release, so that both endpoints run requests for the same
+/// key. The successor's seals need higher fences than all of the first leader's.
 #[test]
 fn leaders_that_lose_the_store() {
     run(
@@ -84,10 +82,10 @@
     );
 }
 
-/// A leader stands still for seconds and goes on as if nothing had happened, while
-/// its successor has given the keys to others.
+/// A leader is paused for seconds and continues unaware, after its successor has given the keys
+/// to other endpoints.
 #[test]
-fn leaders_that_stand_still() {
+fn leaders_that_are_paused() {
     run(
         100..160,
         Faults {
@@ -98,8 +96,8 @@
     );
 }
 
-/// Answers to orders are lost and grants are carried out up to 12 s late, after newer
-/// ones and after releases.
+/// Answers to orders are lost, and grants are carried out up to 12 s late, after newer grants
+/// and after releases.
 #[test]
 fn orders_lost_and_late() {
     run(
@@ -111,10 +109,10 @@
     );
 }
 
-/// An endpoint cannot be reached by its leader but by others, and holds on to its
-/// keys; another process starts at the address of one that ended.
+/// An endpoint is unreachable from its leader but not from others, and continues to hold its
+/// keys. Another process starts at the address of one that ended.
 #[test]
-fn endpoints_cut_off_and_reborn() {
+fn endpoints_cut_off_and_replaced() {
     run(
         300..360,
         Faults {
@@ -125,7 +123,7 @@
     );
 }
 
-/// Answers to writes are lost, and writes land up to 6 s later if their condition
+/// Answers to writes are lost, and writes are carried out up to 6 s later if their condition
 /// still holds.
 #[test]
 fn writes_lost_and_late() {
@@ -139,9 +137,9 @@
     );
 }
 
-/// A leader is cut off from the store for half a minute and goes on renewing what its
-/// row says. Its successor cannot reach an endpoint and gives its keys to another, while
-/// the first leader still reaches it.
+/// A leader is cut off from the store for half a minute and continues to renew the grants of its
+/// row. Its successor cannot reach an endpoint and gives its keys to another one, while the
+/// first leader still reaches it.
 #[test]
 fn leaders_that_lose_the_store_for_long() {
     let faults = Faults {
@@ -153,11 +151,12 @@
     run(700..760, faults);
 }
 
-/// Time in which a zone is to be empty without faults, in steps of 25 ms: 2.5 s.
-const EMPTY_WITHIN: usize = 100;
+/// Longest time for evacuating a zone without faults, in steps of 25 ms: 2.5 s.
+const EVACUATION_STEPS: usize = 100;
 
-/// The same after faults in which a leader and an endpoint were lost together: 25 s.
-const EMPTY_AFTER_FAULTS: usize = 1_000;
+/// Longest time for evacuating a zone after faults in which a leader and an endpoint were lost
+/// together, in steps of 25 ms: 25 s.
+const EVACUATION_STEPS_AFTER_FAULTS: usize = 1_000;
 
 fn steps(seed: u64, world: &mut World, count: usize) {
     for _ in 0..count {
@@ -167,7 +166,7 @@
     }
 }
 
-/// Guards against keys that stay in an evacuated zone, and against a write for each of them.
+/// Guards against keys that stay in an evacuated zone, and against a write for each range.
 #[test]
 fn a_zone_that_is_evacuated_is_empty_in_time() {
     for seed in 1_200..1_220 {
@@ -175,14 +174,15 @@
         steps(seed, &mut world, 800);
         let before = world.writes;
         world.evacuate(true);
-        steps(seed, &mut world, EMPTY_WITHIN);
-        assert_eq!(world.left_behind(), 0, "seed {seed}");
+        steps(seed, &mut world, EVACUATION_STEPS);
+        assert_eq!(world.ranges_in_evacuated_zone(), 0, "seed {seed}");
         let writes = world.writes - before;
         assert!(writes <= 20, "seed {seed}: {writes} writes");
     }
 }
 
-/// Guards against keys with two holders, or left behind, where zones are evacuated amid faults.
+/// Guards against keys with two holders or in an evacuated zone when zones are evacuated during
+/// faults.
 #[test]
 fn zones_evacuated_amid_faults() {
     let faults = Faults {
@@ -197,7 +197,8 @@
     evacuate_amid(faults, 1_300..1_320);
 }
 
-/// Guards against the same where endpoints start again under their names beside lost leaders.
+/// Guards against keys with two holders or in an evacuated zone when endpoints restart under
+/// their names while leaders are lost.
 #[test]
 fn starts_under_their_names_beside_evacuations() {
     let faults = Faults {
@@ -206,19 +207,19 @@
         pauses: 10,
         endpoint_cuts: 20,
         lost_writes: 800,
-        rebirths: 20,
+        restarts: 20,
         ..NO_FAULTS
     };
     evacuate_amid(faults, 1_300..1_340);
 }
 
-/// Guards against two holders where an endpoint starts again beside leaders that lose the store.
+/// Guards against keys with two holders when an endpoint restarts while leaders lose the store.
 #[test]
 fn starts_under_their_names_beside_leaders_that_lose_the_store() {
     let faults = Faults {
         store_cuts: 20,
         endpoint_cuts: 20,
-        rebirths: 20,
+        restarts: 20,
         ..NO_FAULTS
     };
     for seed in [5_008, 5_013, 5_056, 5_065, 5_069, 5_264, 5_388] {
@@ -231,7 +232,8 @@
     run(5_000..5_024, long);
 }
 
-/// Guards against the same amid all faults, and where connections end by themselves.
+/// Guards against keys with two holders when endpoints restart during all kinds of faults, and
+/// when connections are closed by themselves.
 #[test]
 fn starts_under_their_names_amid_all_faults() {
     let faults = Faults {
@@ -240,14 +242,14 @@
         pauses: 10,
         endpoint_cuts: 20,
         lost_writes: 800,
-        rebirths: 20,
+        restarts: 20,
         ..NO_FAULTS
     };
     for seed in [1_303, 1_311, 1_351, 1_372, 1_386, 5_002, 5_018, 5_162] {
         play(seed, World::new(seed, faults));
     }
     let ending = Faults {
-        ended_links: 100,
+        closed_links: 100,
         ..faults
     };
     run(5_100..5_112, ending);
@@ -260,13 +262,13 @@
             world.evacuate(evacuated);
             steps(seed, &mut world, 400);
         }
-        world.heal(NO_FAULTS);
-        steps(seed, &mut world, EMPTY_AFTER_FAULTS);
-        assert_eq!(world.left_behind(), 0, "seed {seed}");
+        world.set_faults(NO_FAULTS);
+        steps(seed, &mut world, EVACUATION_STEPS_AFTER_FAULTS);
+        assert_eq!(world.ranges_in_evacuated_zone(), 0, "seed {seed}");
     }
 }
 
-/// All of it at once.
+/// All kinds of faults at once, except restarts under the same name.
 #[test]
 fn everything_at_once() {
     let faults = Faults {
@@ -282,27 +284,26 @@
     run(500..620, faults);
 }
 
-/// An endpoint crashes and starts again under its name, at any moment of a move: between
-/// seal and release, between release and grant, twice in a row. It remembers no fence, and
-/// a renewal for the start before it that was lost on its way arrives. It then holds keys
-/// that another endpoint has been given.
+/// An endpoint crashes and restarts under its name at any moment of a move: between seal and
+/// release, between release and grant, or twice in a row. It has lost its fences when a delayed
+/// renewal for the earlier start arrives, and holds keys that another endpoint was given.
 #[test]
-fn endpoints_reborn_under_their_names() {
+fn endpoints_restarted_under_their_names() {
     let faults = Faults {
-        rebirths: 200,
+        restarts: 200,
         lost_orders: 1_000,
         ..NO_FAULTS
     };
     run(900..1_000, faults);
 }
 
-/// The same while the entry lapses, with and without the store, and while some leaders do
-/// not reach the endpoint.
+/// An endpoint restarts under its name while its entry expires, with and without the store, and
+/// while some leaders cannot reach it. A delayed renewal then makes it a second holder.
 #[test]
-fn endpoints_reborn_while_their_entries_lapse() {
+fn endpoints_restarted_while_their_entries_expire() {
     let faults = Faults {
-        rebirths: 120,
-        lapses: 200,
+        restarts: 120,
+        expirations: 200,
         lost_orders: 500,
         endpoint_cuts: 40,
         lost_writes: 500,
--- a/crates/citronway-core/tests/gateway_leader_rows.rs
+++ b/crates/citronway-core/tests/gateway_leader_rows.rs
@@ -1,4 +1,4 @@
-//! Rows that grow long: ranges of one holder are joined, full rows still move keys.
+//! Long rows: ranges of one holder are joined, and full rows still accept moves.
 
 use citronway_core::gateway::assignment::{Assignment, FENCES_PER_MOVE, Holder, MAX_RANGES, Range};
 use citronway_core::gateway::leader::{
@@ -24,7 +24,7 @@
     }
 }
 
-/// A row of `count` ranges; the holders take turns.
+/// A row of `count` ranges that are assigned to the holders in rotation.
 fn row(count: usize, holders: &[Listing]) -> Assignment {
     let mut row = Assignment {
         next_fence: 1,
@@ -67,8 +67,8 @@
     })
 }
 
-/// A range was cut and both parts came to one endpoint. They get one fence above both
-/// of theirs, once both are granted: before, the proof of a move would be lost.
+/// A range was split and both parts came to one endpoint. They get one fence above both of
+/// theirs, but only once both are granted; earlier, the handover proof of a move would be lost.
 #[gtest]
 fn neighbours_of_one_holder_are_joined_once_granted() {
     let mut registry = Registry::default();
@@ -87,7 +87,7 @@
     expect_that!(joined.ranges.len(), eq(1));
     let highest = row.ranges.iter().map(|r| r.holder.fence).max().unwrap_or(0);
     expect_that!(joined.ranges[0].holder.fence, gt(highest));
-    // Nothing is granted by the new fence before the row stands.
+    // Nothing is granted with the new fence before the row is written.
     let fences = |actions: &[Action]| {
         let orders = actions.iter().filter_map(|action| match action {
             Action::Order(order) => Some(order.fence),
@@ -102,8 +102,8 @@
     expect_that!(fences(&actions), eq(fence));
 }
 
-/// Hot ranges had cut a row up until it was full. Then an endpoint ended, and since no
-/// row took another range, its keys were served by nobody for the rest of the day.
+/// Hot ranges split a row until it is full, and then an endpoint ends. Its keys stay unserved if
+/// a full row accepts no move.
 #[gtest]
 fn a_full_row_still_gives_whole_ranges_to_others() {
     let holders = [listing("a", 1), listing("b", 2)];
@@ -126,10 +126,10 @@
     expect_that!(moving, eq(true));
 }
 
-/// A leader with much to do begins its orders too late. It used to take the endpoints for
-/// lost, moved their keys, and had even more to do.
+/// An overloaded leader begins its orders too late. If it considers the endpoints lost, it moves
+/// their keys, which adds to its load.
 #[gtest]
-fn orders_that_were_begun_too_late_tell_nothing_of_the_endpoint() {
+fn orders_that_were_begun_too_late_are_no_failure_of_the_endpoint() {
     let mut registry = Registry::default();
     registry.put(NOW, listing("a", 1));
     let row = row(1, &[listing("a", 1)]);
@@ -149,8 +149,8 @@
     }
 }
 
-/// An endpoint crashes and starts again under its name and address. What its earlier start
-/// held is not renewed: the keys go to another life of it with a higher fence only.
+/// An endpoint crashes and restarts under its name and address. The grants of its earlier start
+/// are not renewed, and the new start gets the keys only with a higher fence.
 #[gtest]
 fn a_start_under_the_same_name_gets_a_higher_fence() -> Result<()> {
     let starts = [1_000, 2_000].map(|born| Listing {
--- a/crates/citronway-core/tests/leader_world/endpoint.rs
+++ b/crates/citronway-core/tests/leader_world/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that checks fences and measures holds on a clock that runs 2% slow.
+//! Simulated endpoint that checks fences and measures holds on a clock that runs 2% slow.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,47 +15,48 @@
     until: Mono,
 }
 
-/// An endpoint's clock between two starts.
+/// Change of an endpoint's clock between two starts.
 #[derive(Debug, Clone, Copy)]
 pub enum Clock {
-    Right,
+    Correct,
     SetBack,
-    SetToTheSame,
+    Unchanged,
 }
 
 #[derive(Debug)]
 pub struct Endpoint {
-    place: usize,
+    index: usize,
     start: u64,
-    /// Which process, counted from the first.
-    life: u64,
-    /// By its own clock; starts under one name may have the same or a falling one.
+    /// Number of the process, counted from the first.
+    process: u64,
+    /// Start time by the endpoint's own clock. It may repeat or decrease for starts under one
+    /// name.
     born_ms: u64,
     pub address: SocketAddr,
-    /// Refuses orders that name an earlier start at its address.
+    /// Whether the endpoint refuses orders that name an earlier start at its address.
     pub checks_names: bool,
     keys: BTreeMap<u16, KeyState>,
 }
 
 impl Endpoint {
-    pub fn new(place: usize) -> Self {
+    pub fn new(index: usize) -> Self {
         Self {
-            place,
+            index,
             start: 0,
-            life: 0,
+            process: 0,
             born_ms: 1_000_000,
-            address: SocketAddr::from(([10, 0, 0, 1], 8_000 + u16::try_from(place).unwrap_or(0))),
+            address: SocketAddr::from(([10, 0, 0, 1], 8_000 + u16::try_from(index).unwrap_or(0))),
             checks_names: true,
             keys: BTreeMap::new(),
         }
     }
 
-    pub const fn life(&self) -> u64 {
-        self.life
+    pub const fn process(&self) -> u64 {
+        self.process
     }
 
     pub fn id(&self) -> EndpointStart {
-        super::name(self.place, self.start, self.born_ms)
+        super::name(self.index, self.start, self.born_ms)
     }
 
     pub fn listing(&self) -> Listing {
@@ -63,27 +64,27 @@
             start: self.id(),
             service: ServiceName::new("batch"),
             address: self.address,
-            zone: super::zone_of(self.place),
+            zone: super::zone_of(self.index),
             slots: 6,
             draining: false,
             cold_ms: 0,
         }
     }
 
-    /// Another process starts at the same address; it holds nothing.
+    /// Replaces the process by another one at the same address, which holds nothing.
     pub fn restart(&mut self) {
         self.start += 1;
-        self.life += 1;
+        self.process += 1;
         self.keys.clear();
     }
 
-    /// It starts again under its name; it holds and remembers nothing.
+    /// Restarts the process under its name, which loses all holds and fences.
     pub fn start_again(&mut self, clock: Clock) {
-        self.life += 1;
+        self.process += 1;
         self.born_ms = match clock {
-            Clock::Right => self.born_ms + 1,
+            Clock::Correct => self.born_ms + 1,
             Clock::SetBack => self.born_ms - 1,
-            Clock::SetToTheSame => self.born_ms,
+            Clock::Unchanged => self.born_ms,
         };
         self.keys.clear();
     }
@@ -92,7 +93,7 @@
         self.keys.get(&key).is_some_and(|state| state.until > now)
     }
 
-    pub fn take(&mut self, now: Mono, arrived: Mono, order: &Order) -> OrderResult {
+    pub fn handle(&mut self, now: Mono, arrived: Mono, order: &Order) -> OrderResult {
         if self.checks_names && order.endpoint.name() != self.id().name() {
             return OrderResult::NotThere;
         }
--- a/crates/citronway-core/tests/leader_world/links.rs
+++ b/crates/citronway-core/tests/leader_world/links.rs
@@ -1,41 +1,42 @@
-//! Connections from leaders to endpoints, and the orders on them that arrive late.
+//! Connections from leaders to endpoints, and orders that arrive late.
 //!
-//! A connection ends with the process that took it, and so does all that was sent on it.
+//! A connection ends with the process that accepted it, and all that was sent on it is lost.
 
 use citronway_core::gateway::leader::{Order, OrderKind};
 use citronway_core::time::Mono;
 
 use super::{Endpoint, Random};
 
-/// How long after it was decided a lost order may arrive: its time and some more.
+/// Longest time from the issue of a lost order to its arrival, in milliseconds: its timeout and
+/// the late arrival that the leader allows for.
 const LATEST_ARRIVAL_MS: u64 = 650;
 
-/// One leader's connections: the life of each endpoint that took the last one.
+/// Connections of one leader: for each endpoint, the process that accepted the last one.
 #[derive(Debug, Default)]
 pub(super) struct Links {
-    lives: Vec<Option<u64>>,
+    processes: Vec<Option<u64>>,
 }
 
 impl Links {
-    /// Whether there is a connection to this life of the endpoint.
-    pub(super) fn is_open(&mut self, place: usize, life: u64) -> bool {
-        if self.lives.len() <= place {
-            self.lives.resize(place + 1, None);
+    /// Whether there is a connection to this process of the endpoint.
+    pub(super) fn is_open(&mut self, index: usize, process: u64) -> bool {
+        if self.processes.len() <= index {
+            self.processes.resize(index + 1, None);
         }
-        self.lives[place] == Some(life)
+        self.processes[index] == Some(process)
     }
 
-    /// A connection is made to this life, unless there is one.
-    pub(super) fn open(&mut self, place: usize, life: u64) {
-        if !self.is_open(place, life) {
-            self.lives[place] = Some(life);
+    /// Opens a connection to this process, unless there is one.
+    pub(super) fn open(&mut self, index: usize, process: u64) {
+        if !self.is_open(index, process) {
+            self.processes[index] = Some(process);
         }
     }
 
-    /// A connection ends while both sides live on.
-    pub(super) fn end(&mut self, place: usize) {
-        if let Some(life) = self.lives.get_mut(place) {
-            *life = None;
+    /// Closes a connection while both processes continue.
+    pub(super) fn end(&mut self, index: usize) {
+        if let Some(process) = self.processes.get_mut(index) {
+            *process = None;
         }
     }
 }
@@ -45,9 +46,9 @@
     at: Mono,
     arrived: Mono,
     endpoint: usize,
-    /// The life that took its connection, once that was made.
-    life: Option<u64>,
-    /// When a new connection for it is made at the latest.
+    /// Process that accepted the order's connection; `None` until it is opened.
+    process: Option<u64>,
+    /// Latest time at which a new connection for the order is opened.
     connected: Mono,
     order: Order,
 }
@@ -59,12 +60,13 @@
 }
 
 impl LateOrders {
-    /// An order arrives within its time or a little after; it is carried out up to 12 s later.
+    /// Queues an order that arrives within its timeout or a little later and is carried out up to
+    /// 12 s later.
     pub(super) fn push(
         &mut self,
         now: Mono,
         random: &mut Random,
-        (endpoint, life): (usize, u64),
+        (endpoint, process): (usize, u64),
         order: &Order,
     ) {
         let arrived = now.plus(random.below(LATEST_ARRIVAL_MS));
@@ -77,31 +79,32 @@
             at,
             arrived,
             endpoint,
-            life: (now >= order.connect_by).then_some(life),
+            process: (now >= order.connect_by).then_some(process),
             connected: arrived.min(order.connect_by),
             order: order.clone(),
         });
     }
 
-    /// Carries out what is due.
+    /// Carries out the orders that are due.
     pub(super) fn carry_out(&mut self, now: Mono, endpoints: &mut [Endpoint]) {
         for late in &mut self.orders {
             if late.connected <= now {
-                late.life.get_or_insert(endpoints[late.endpoint].life());
+                late.process
+                    .get_or_insert(endpoints[late.endpoint].process());
             }
         }
         let (due, later): (Vec<_>, Vec<_>) = self.orders.drain(..).partition(|o| o.at <= now);
         self.orders = later;
         for late in due {
             let endpoint = &mut endpoints[late.endpoint];
-            if late.life == Some(endpoint.life()) {
-                endpoint.take(now, late.arrived, &late.order);
+            if late.process == Some(endpoint.process()) {
+                endpoint.handle(now, late.arrived, &late.order);
             }
         }
     }
 }
 
-/// Whether an order whose answer is lost may be carried out after all.
+/// Whether an order whose answer is lost may still be carried out.
 pub(super) fn may_be_late(order: &Order) -> bool {
     order.kind != OrderKind::Release
 }
--- a/crates/citronway-core/tests/leader_world/mod.rs
+++ b/crates/citronway-core/tests/leader_world/mod.rs
@@ -1,9 +1,9 @@
-//! Leaders, a store and endpoints in one process, with faults drawn from a seed.
+//! Simulation of leaders, a store and endpoints in one process, with faults drawn from a seed.
 //!
-//! Time goes in steps. Calls arrive at once or never; a grant whose answer is lost
-//! may be carried out up to 12 s later, its time counting from its arrival. A leader
-//! may lose the store, some endpoints, or its own time; whoever claims follows. Leaders
-//! hear nothing of one another.
+//! Time advances in steps. Calls arrive at once or never. A grant whose answer is lost may be
+//! carried out up to 12 s later, with a hold that counts from its arrival. A leader may lose the
+//! connection to the store or to endpoints, or be paused; another instance then claims the
+//! leadership. Leaders do not learn of one another.
 
 mod endpoint;
 mod links;
@@ -27,39 +27,39 @@
 /// Length of a step, in milliseconds.
 pub const STEP_MS: u64 = 25;
 
-/// Time between two looks at the placement, in milliseconds.
+/// Interval between two runs of the placement, in milliseconds.
 const PLACE_MS: u64 = 100;
 
-/// Silence of a leader after which another claims, in milliseconds.
+/// Time without a sign of the leader after which another instance claims, in milliseconds.
 const CLAIM_AFTER_MS: u64 = 1_000;
 
-/// How likely each fault is, in one step, out of ten thousand.
+/// Probability of each fault in one step, in units of 1/10,000.
 #[derive(Debug, Clone, Copy)]
 pub struct Faults {
-    /// An order's answer is lost; of these, half are carried out late.
+    /// The answer to an order is lost; half of these orders are carried out late.
     pub lost_orders: u64,
-    /// A leader loses the store.
+    /// A leader loses the connection to the store.
     pub store_cuts: u64,
-    /// For how long at most, in milliseconds.
+    /// Longest loss of that connection, in milliseconds.
     pub longest_cut_ms: u64,
-    /// A leader stands still for up to 20 s.
+    /// A leader is paused for up to 20 s.
     pub pauses: u64,
-    /// An endpoint is not reached by one leader for up to 6 s.
+    /// An endpoint is unreachable from one leader for up to 6 s.
     pub endpoint_cuts: u64,
-    /// An endpoint's process ends; another starts at its address.
+    /// An endpoint's process ends and another one starts at its address.
     pub crashes: u64,
-    /// The answer to a write is lost; of these, half are done late.
+    /// The answer to a write is lost; half of these writes are carried out late.
     pub lost_writes: u64,
-    /// An endpoint starts again under its name; of these, one in four twice in a row, and
-    /// one in four with a clock that was set back or to the same moment.
-    pub rebirths: u64,
-    /// An entry lapses; of these, half with the store, which makes them believed on.
-    pub lapses: u64,
-    /// A connection of one leader to one endpoint ends.
-    pub ended_links: u64,
+    /// An endpoint restarts under its name. One in four restarts twice in a row, and one in four
+    /// has a clock that was set back or shows the same time as at the earlier start.
+    pub restarts: u64,
+    /// An entry expires; half of these during a loss of the store, in which entries stay valid.
+    pub expirations: u64,
+    /// A connection of one leader to one endpoint is closed.
+    pub closed_links: u64,
 }
 
-/// One instance that may keep.
+/// An instance that may lead.
 #[derive(Debug)]
 struct Instance {
     leader: Leader,
@@ -79,7 +79,7 @@
     expected: Version,
 }
 
-/// The whole world.
+/// State of the simulation.
 #[derive(Debug)]
 pub struct World {
     pub now: Mono,
@@ -94,16 +94,16 @@
     leader_acted: Mono,
     late_orders: LateOrders,
     late_writes: Vec<LateWrite>,
-    /// Second starts that follow soon after a first, and at which endpoint.
-    rebirths: Vec<(Mono, usize)>,
+    /// Second restarts that follow soon after a first one, with the index of the endpoint.
+    restarts: Vec<(Mono, usize)>,
     started: Mono,
     registry: Registry,
-    /// Steps in which a key had no holder, over all keys that are looked at.
+    /// Number of steps in which a key had no holder, summed over all checked keys.
     pub unserved: u64,
     pub moves: u64,
-    /// Writes of the row that the store took.
+    /// Number of writes of the row that the store accepted.
     pub writes: u64,
-    /// A zone is evacuated.
+    /// Whether the first zone is evacuated.
     evacuated: bool,
 }
 
@@ -134,7 +134,7 @@
             leader_acted: start,
             late_orders: LateOrders::default(),
             late_writes: Vec::new(),
-            rebirths: Vec::new(),
+            restarts: Vec::new(),
             started: start.plus(STEP_MS),
             registry: Registry::default(),
             unserved: 0,
@@ -149,7 +149,8 @@
         world
     }
 
-    /// The living starts as they are listed by now: a new one after 0.5 s on average.
+    /// Updates the registry with the running processes; a new one is listed after 0.5 s on
+    /// average.
     fn list(&mut self) {
         for endpoint in &self.endpoints {
             if self.now == self.started || self.random.chance(500) {
@@ -158,11 +159,11 @@
         }
     }
 
-    /// Runs one step; says which key two endpoints hold, if one does.
+    /// Runs one step. Returns a message if two endpoints hold the same key.
     pub fn step(&mut self) -> Option<String> {
         self.now = self.now.plus(STEP_MS);
         self.draw_faults();
-        self.repeat_rebirths();
+        self.repeat_restarts();
         self.registry.expire(self.now);
         self.list();
         self.carry_out_late();
@@ -195,44 +196,44 @@
             let i = self.random.index(self.endpoints.len());
             self.endpoints[i].restart();
         }
-        if self.random.chance(faults.rebirths) {
-            self.rebirth();
+        if self.random.chance(faults.restarts) {
+            self.restart_under_name();
         }
-        if self.random.chance(faults.lapses) {
-            self.lapse();
+        if self.random.chance(faults.expirations) {
+            self.expire_entry();
         }
-        if faults.ended_links > 0 && self.random.chance(faults.ended_links) {
+        if faults.closed_links > 0 && self.random.chance(faults.closed_links) {
             let i = self.random.index(count);
             let endpoint = self.random.index(self.endpoints.len());
             self.instances[i].links.end(endpoint);
         }
     }
 
-    fn rebirth(&mut self) {
+    fn restart_under_name(&mut self) {
         let i = self.random.index(self.endpoints.len());
         let clock = match self.random.below(8) {
             0 => Clock::SetBack,
-            1 => Clock::SetToTheSame,
-            _ => Clock::Right,
+            1 => Clock::Unchanged,
+            _ => Clock::Correct,
         };
         self.endpoints[i].start_again(clock);
         if self.random.chance(2_500) {
             let again_ms = self.random.below(2_000);
-            self.rebirths.push((self.now.plus(again_ms), i));
+            self.restarts.push((self.now.plus(again_ms), i));
         }
     }
 
-    fn repeat_rebirths(&mut self) {
+    fn repeat_restarts(&mut self) {
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) =
-            self.rebirths.drain(..).partition(|(at, _)| *at <= now);
-        self.rebirths = later;
+            self.restarts.drain(..).partition(|(at, _)| *at <= now);
+        self.restarts = later;
         for (_, i) in due {
-            self.endpoints[i].start_again(Clock::Right);
+            self.endpoints[i].start_again(Clock::Correct);
         }
     }
 
-    fn lapse(&mut self) {
+    fn expire_entry(&mut self) {
         let i = self.random.index(self.endpoints.len());
         let name = self.endpoints[i].id();
         if self.random.chance(5_000) {
@@ -262,7 +263,7 @@
         true
     }
 
-    /// Has the operator evacuate the first zone, or take it back.
+    /// Evacuates the first zone, or restores it.
     pub fn evacuate(&mut self, evacuated: bool) {
         self.evacuated = evacuated;
         let zones = evacuated.then(|| (zone_of(0), self.now));
@@ -270,13 +271,13 @@
             .set_evacuated(self.now, zones.into_iter().collect());
     }
 
-    /// No more faults come; those under way end by themselves.
-    pub const fn heal(&mut self, faults: Faults) {
+    /// Changes the faults to draw from now on; current ones end by themselves.
+    pub const fn set_faults(&mut self, faults: Faults) {
         self.faults = faults;
     }
 
-    /// Ranges whose holder or next owner is in the first zone.
-    pub fn left_behind(&self) -> usize {
+    /// Number of ranges whose target, the next owner or else the holder, is in the first zone.
+    pub fn ranges_in_evacuated_zone(&self) -> usize {
         let there = |start: &EndpointStart| {
             let mut all = self.endpoints.iter();
             all.any(|e| e.id().name() == start.name() && e.listing().zone == zone_of(0))
@@ -286,7 +287,8 @@
         owners.filter(|owner| there(&owner.endpoint)).count()
     }
 
-    /// Another instance claims when the leader has not acted for a while.
+    /// Makes another instance claim the leadership if the leader has not acted for
+    /// [`CLAIM_AFTER_MS`].
     fn claim(&mut self) {
         if self.now.since(self.leader_acted) < CLAIM_AFTER_MS {
             return;
@@ -344,7 +346,7 @@
         self.instances[i].leader.create_assignment(&listings);
         if self.evacuated {
             if self.now.0.is_multiple_of(PLACE_MS) {
-                self.empty_zone(i, registry);
+                self.evacuate_keys(i, registry);
             }
             return;
         }
@@ -358,16 +360,16 @@
             return;
         };
         let last = range.last.min(first.saturating_add(5_000));
-        let wish = Move {
+        let request = Move {
             span: Span { first, last },
             to: self.endpoints[to].id(),
         };
         self.moves += 1;
-        leader.start_moves(&[wish], registry);
+        leader.start_moves(&[request], registry);
     }
 
-    /// Moves what is in the evacuated zone, as the placement wants it.
-    fn empty_zone(&mut self, i: usize, registry: &Registry) {
+    /// Starts the moves that the placement proposes for the evacuated zone.
+    fn evacuate_keys(&mut self, i: usize, registry: &Registry) {
         let leader = &mut self.instances[i].leader;
         let now = self.now;
         let place = |endpoint: &EndpointStart, takes: bool, lost: bool| PlacementEndpoint {
@@ -431,19 +433,19 @@
             .iter()
             .any(|(e, end)| *e == place && *end > now);
         let lost = unreached || self.random.chance(self.faults.lost_orders);
-        let life = self.endpoints[place].life();
+        let process = self.endpoints[place].process();
         let links = &mut self.instances[i].links;
-        let result = if now >= order.connect_by && !links.is_open(place, life) {
+        let result = if now >= order.connect_by && !links.is_open(place, process) {
             OrderResult::NotConnected
         } else if lost {
             if self.random.chance(5_000) && links::may_be_late(order) {
-                let to = (place, life);
+                let to = (place, process);
                 self.late_orders.push(now, &mut self.random, to, order);
             }
             OrderResult::Lost
         } else {
-            links.open(place, life);
-            self.endpoints[place].take(now, now, order)
+            links.open(place, process);
+            self.endpoints[place].handle(now, now, order)
         };
         self.instances[i]
             .leader
@@ -470,12 +472,12 @@
     }
 }
 
-/// Name of the `start`th process at an address.
+/// Start of the `start`th process at an address.
 fn name(place: usize, start: u64, born_ms: u64) -> EndpointStart {
     EndpointStart::new(&format!("e{place}-{start}"), Some(born_ms))
 }
 
-/// The zone of the endpoint at a place; two of them are in each.
+/// Zone of the endpoint with this index; each zone has two endpoints.
 fn zone_of(place: usize) -> ZoneName {
     ZoneName::new(if place < 2 { "a" } else { "b" })
 }
