--- a/crates/citronway-core/benches/gateway_crashes.rs
+++ b/crates/citronway-core/benches/gateway_crashes.rs
@@ -1,7 +1,7 @@
-//! What a request costs while work is under suspicion, and what the table costs.
+//! Cost of a request while there are suspects, and cost of the crash ledger.
 //!
-//! A request that does not come while anything is under suspicion costs one look at an empty
-//! table, as the first group shows; that was nothing before the table was there.
+//! While there are no suspects, a request costs one lookup in an empty table, which the first
+//! benchmark shows.
 
 use std::hint::black_box;
 
@@ -13,10 +13,10 @@
 use citronway_core::time::Mono;
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 
-/// Bodies, in bytes: none, a usual one, the longest of the sites.
+/// Body sizes in bytes: none, a usual one, and the longest at the sites.
 const BODIES: [usize; 3] = [0, 4_000, 30_000];
 
-/// Works in a full table.
+/// Number of works in a full ledger.
 const FULL: u32 = 4_096;
 
 fn request(c: &mut Criterion) {
--- a/crates/citronway-core/src/gateway/leader/moves.rs
+++ b/crates/citronway-core/src/gateway/leader/moves.rs
@@ -322,14 +322,13 @@
             }
         }
         match &order.kind {
-            OrderKind::Grant { .. } => self.handle_grant_result(now, order, result),
-            OrderKind::Seal { .. } | OrderKind::Release => {
-                self.handle_move_result(now, order, result)
-            }
+            OrderKind::Grant { .. } => self.record_grant(now, order, result),
+            OrderKind::Seal { .. } | OrderKind::Release => self.record_move(now, order, result),
         }
     }
 
-    fn handle_grant_result(&mut self, now: Mono, order: &Order, result: &OrderResult) {
+    /// Records the result of a grant.
+    fn record_grant(&mut self, now: Mono, order: &Order, result: &OrderResult) {
         let ok = matches!(result, OrderResult::Done { .. });
         if result.is_unsent() {
             // The previous order has been abandoned by now and may still arrive.
@@ -337,15 +336,15 @@
             self.holds
                 .record_unsent(&order.endpoint, order.span, order.fence, end);
         } else {
-            self.record_hold_result(order, result);
+            self.record_hold(order, result);
         }
         if ok {
             self.handovers.swap_remove(&order.fence);
         }
     }
 
-    /// Records the result of a call that grants a hold.
-    fn record_hold_result(&mut self, order: &Order, result: &OrderResult) {
+    /// Records the effect of a grant or seal on the hold.
+    fn record_hold(&mut self, order: &Order, result: &OrderResult) {
         let (endpoint, span, fence) = (&order.endpoint, order.span, order.fence);
         match result {
             OrderResult::Lost => self.holds.record_lost(endpoint, span, fence),
@@ -358,10 +357,11 @@
         }
     }
 
-    fn handle_move_result(&mut self, now: Mono, order: &Order, result: &OrderResult) {
+    /// Records the result of a seal or release.
+    fn record_move(&mut self, now: Mono, order: &Order, result: &OrderResult) {
         let sealing = matches!(order.kind, OrderKind::Seal { .. });
         if sealing {
-            self.record_hold_result(order, result);
+            self.record_hold(order, result);
         }
         let next = self
             .row
--- a/crates/citronway-core/tests/admission_support/mod.rs
+++ b/crates/citronway-core/tests/admission_support/mod.rs
@@ -1,5 +1,5 @@
-//! A small deployment as one instance sees it: `a` and `b` divide the keys of `batch`,
-//! `near`, `far1` and `far2` serve `console`; six slots each.
+//! A small deployment as seen by one instance: `a` and `b` share the keys of `batch`, and `near`,
+//! `far1` and `far2` serve `console`, with six slots each.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -17,7 +17,7 @@
 pub struct Scene {
     registry: Registry,
     pub owners: IndexMap<ServiceName, Owners>,
-    pub standings: IndexMap<EndpointTag, ReportedLoad>,
+    pub reported_loads: IndexMap<EndpointTag, ReportedLoad>,
 }
 
 fn listing(id: &str, service: &str, zone: &str, port: u16) -> Listing {
@@ -73,7 +73,7 @@
         Self {
             registry,
             owners: [(ServiceName::new("batch"), owners)].into_iter().collect(),
-            standings: IndexMap::new(),
+            reported_loads: IndexMap::new(),
         }
     }
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Begins to move the first range to another endpoint.
+    /// Starts a move of the first range to another endpoint.
     pub fn move_first_to(&mut self, id: &str) {
         for owners in self.owners.values_mut() {
             let mut assignment = owners.assignment.as_ref().clone();
@@ -110,11 +110,11 @@
         let mut view = View::empty(ZoneName::new("here"), 1);
         view.registry = Arc::new(self.registry.clone());
         view.owners.clone_from(&self.owners);
-        view.reported_loads.clone_from(&self.standings);
+        view.reported_loads.clone_from(&self.reported_loads);
         view
     }
 
-    /// An admission that has known the owners for a while.
+    /// An admission that has known the owners for longer than the grace time of new owners.
     pub fn admission(&self, now: Mono) -> Admission {
         let mut admission = Admission::default();
         admission.update_view(now.minus(1_000), &self.view());
@@ -122,7 +122,7 @@
     }
 }
 
-/// A request without a key that takes 200 ms and waits for 2 s.
+/// A request without a key, with work of 200 ms and a deadline of 2 s.
 pub fn job(ticket: u64, now: Mono) -> Job {
     Job {
         ticket,
@@ -140,7 +140,7 @@
     }
 }
 
-/// The same with a key.
+/// A request with a key, with work of 200 ms and a deadline of 2 s.
 pub fn keyed(ticket: u64, key: u16, now: Mono) -> Job {
     Job {
         service: ServiceName::new("batch"),
--- a/crates/citronway-core/tests/gateway_admission.rs
+++ b/crates/citronway-core/tests/gateway_admission.rs
@@ -1,4 +1,4 @@
-//! Who is sent, who waits and who is refused at one instance.
+//! Admission at one instance: which requests are sent, queued or refused.
 
 mod admission_support;
 
@@ -42,8 +42,8 @@
     expect_that!(endpoint(decided.first().map(|(_, v)| v)), eq("key_unowned"));
 }
 
-/// A range has a new owner, but the grant has not reached it yet. A request that is
-/// faster is refused there and counts as a second send.
+/// A range has a new owner that its grant has not reached yet. A request that arrives before the
+/// grant is refused, and its retry counts against the retry budget.
 #[gtest]
 fn a_new_owner_is_given_time_for_its_grant() {
     let scene = Scene::new();
@@ -55,8 +55,8 @@
     expect_that!(endpoint(decided.first().map(|(_, v)| v)), eq("a"));
 }
 
-/// A holder has let its range go. All requests that wait for the range used to try it
-/// again at once, up to 18 times each, and used up the budget of second sends.
+/// A holder has released its range. If all requests that wait for the range try the holder again
+/// at once, up to 18 times each, they exhaust the retry budget.
 #[gtest]
 fn one_request_at_a_time_tries_a_holder_that_does_not_hold() {
     let scene = Scene::new();
@@ -88,8 +88,8 @@
     expect_that!(sent, eq(in_flight_limit(6) as usize));
 }
 
-/// Another instance has as much to send to the endpoint as this one. Each takes half,
-/// so that the endpoint does not have to turn anybody away.
+/// Another instance has as many requests for the endpoint as this one. Each uses half of the
+/// slots, so that the endpoint refuses none.
 #[gtest]
 fn a_full_endpoint_is_shared_with_other_instances() {
     let mut scene = Scene::new();
@@ -104,7 +104,7 @@
         ..ReportedLoad::unknown()
     };
     scene
-        .standings
+        .reported_loads
         .insert(EndpointTag::of(&EndpointStart::new("a", None)), standing);
     let mut admission = scene.admission(NOW);
     for ticket in 0..30 {
@@ -115,8 +115,8 @@
     expect_that!(sent, all!(ge(3), le(5)));
 }
 
-/// A batch of patient requests waits in front of a full endpoint when an interactive
-/// one comes. It goes first as soon as a place is free.
+/// Batch requests are queued for a full endpoint when an interactive one arrives. It goes first
+/// as soon as a slot is free.
 #[gtest]
 fn the_more_urgent_goes_first() {
     let scene = Scene::new();
@@ -132,10 +132,10 @@
     expect_that!(decided.first().map(|(ticket, _)| *ticket), some(eq(100)));
 }
 
-/// Three times as much comes as an endpoint can do. Whoever would wait beyond his time
-/// is told at once, with a time to come back, and not at his deadline.
+/// Three times as many requests arrive as an endpoint can run. A request that would wait beyond
+/// its deadline is refused at once, with a retry-after time, and not at its deadline.
 #[gtest]
-fn who_cannot_be_served_in_time_is_refused_at_once() {
+fn a_request_that_cannot_be_served_in_time_is_refused_at_once() {
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     let mut refused = Vec::new();
@@ -153,10 +153,10 @@
     }
 }
 
-/// A key is asked for more than can be answered. A request that can no longer be in
-/// time lets those go first that can, although its own time ends sooner.
+/// A key gets more requests than its endpoint can answer. A request that can no longer meet its
+/// objective goes after those that can, although its deadline is earlier.
 #[gtest]
-fn who_can_still_be_in_time_goes_before_who_cannot() {
+fn requests_that_can_meet_their_objective_go_first() {
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     for ticket in 0..12 {
@@ -197,10 +197,10 @@
     }
 }
 
-/// A machine goes dark; connections to it hang. Requests that may not be repeated are
-/// not sent to it any more, long before its entry lapses.
+/// A machine stops responding while connections to it stay open. Non-idempotent requests are no
+/// longer sent to it, long before its entry expires.
 #[gtest]
-fn a_silent_endpoint_is_left_alone() {
+fn an_unresponsive_endpoint_is_avoided() {
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     let first = admission.submit(NOW, &scene.view(), job(1, NOW));
@@ -235,8 +235,8 @@
     expect_that!(admission.waiting_count(), eq(2));
 }
 
-/// An instance stops while a request waits for an owner that has no room. Its
-/// connection used to end with the process, without an answer.
+/// An instance stops while a request is queued for an owner that has no room. Without a refusal,
+/// its connection closes with the process and the caller gets no answer.
 #[gtest]
 fn a_request_that_waits_is_refused_before_its_instance_ends() {
     let scene = Scene::new();
@@ -259,16 +259,16 @@
     expect_that!(endpoint(late.as_ref()), eq("overloaded"));
 }
 
-/// An instance is about to end, and a place gets free for a request that waited there. It was
-/// sent, its work was broken off with the process, and its caller was left without an answer;
-/// told that it has not run, the caller goes to another instance at once.
+/// A slot becomes free for a queued request of an instance that is about to end. If the request is
+/// sent, its work is aborted with the process and its caller gets no answer. If it is refused,
+/// the caller goes to another instance at once.
 #[gtest]
 fn work_that_would_outlast_its_instance_is_refused_and_not_sent() {
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     let end = NOW.plus(5_000);
     admission.limit_deadlines(end);
-    // Five in six of its works of 200 ms take up to 320 ms.
+    // Five in six requests with work of 200 ms take up to 320 ms.
     let in_time = admission.submit(end.minus(330), &scene.view(), keyed(1, 0, NOW.plus(4_000)));
     expect_that!(endpoint(in_time.as_ref()), eq("a"));
     for job in [keyed(2, 0, NOW.plus(4_000)), job(3, NOW.plus(4_000))] {
@@ -277,10 +277,10 @@
     }
 }
 
-/// Keys in demand come to a new owner, which resets the connections that it has no room
-/// for. Whoever met a reset used to send again at once, and met the next one.
+/// Keys in demand move to a new owner, which resets the connections that it has no room for. A
+/// request that is retried there at once is reset again.
 #[gtest]
-fn an_endpoint_that_resets_connections_is_left_alone_for_a_moment() {
+fn an_endpoint_that_resets_connections_is_avoided_for_a_moment() {
     let scene = Scene::new();
     let mut admission = scene.admission(NOW);
     let a = EndpointStart::new("a", None);
@@ -289,7 +289,7 @@
     expect_that!(endpoint(waits.as_ref()), eq("waits"));
     let decided = admission.decide_waiting(NOW.plus(60), &scene.view());
     expect_that!(endpoint(decided.first().map(|(_, v)| v)), eq("a"));
-    // The second time it is left alone for longer.
+    // After the second reset it is avoided for longer.
     admission.record_reset(NOW.plus(61), &a);
     admission.submit(NOW.plus(62), &scene.view(), keyed(2, 0, NOW));
     expect_that!(
@@ -298,8 +298,8 @@
     );
 }
 
-/// A range is on its way to another endpoint. Its holder lets go within milliseconds, and
-/// each instance that still sends there is refused and has one second send less.
+/// A range moves to another endpoint. Its holder releases it within milliseconds, and each
+/// instance that still sends there is refused and loses a retry.
 #[gtest]
 fn a_range_on_its_way_is_waited_for() {
     let mut scene = Scene::new();
@@ -313,8 +313,8 @@
     expect_that!(endpoint(decided.first().map(|(_, v)| v)), eq("a"));
 }
 
-/// Answers of 90 kilobytes went to another zone as soon as the near endpoint had a few
-/// requests, and paid more for their way than they were worth.
+/// Requests with answers of 90 kilobytes go to another zone as soon as the local endpoint has a
+/// few requests, and their transfer costs more than the wait would.
 #[gtest]
 fn a_large_answer_stays_near_where_a_short_one_crosses() {
     let scene = Scene::new();
@@ -333,9 +333,9 @@
     }
 }
 
-/// Each instance spread its requests over all endpoints and opened a connection for nearly
-/// every one. An endpoint that is as good and has an open one goes first; work that may
-/// not be repeated trusts it for two seconds only.
+/// An instance that spreads its requests over all endpoints opens a connection for nearly every
+/// one. Among equal endpoints, one with an idle connection is preferred; for non-idempotent
+/// requests only within two seconds.
 #[gtest]
 fn an_open_connection_is_used_again() {
     let scene = Scene::new();
@@ -358,9 +358,10 @@
     }
 }
 
-/// Ninety instances have a request each for one endpoint, in four zones. Each knew only
-/// its own zone's, sent its own, and the endpoint refused most or kept them for seconds.
-/// With the sum of all, about as many go as there are places, and each gets its turn.
+/// Ninety instances in four zones have one request each for one endpoint. If each knows only the
+/// requests of its own zone, all are sent, and the endpoint refuses most or queues them for
+/// seconds. With the sum over all instances, about as many are sent as there are slots, and
+/// every instance gets to send.
 #[gtest]
 fn a_sum_of_all_keeps_an_endpoint_from_being_overrun() {
     let mut scene = Scene::new();
@@ -371,13 +372,13 @@
         is_sum: true,
         ..ReportedLoad::unknown()
     };
-    scene.standings.insert(tag, sum(0, 89));
+    scene.reported_loads.insert(tag, sum(0, 89));
     let mut view = scene.view();
-    let turns = 50;
+    let periods = 50;
     let mut sent = 0;
     let mut served = [0; 90];
-    for turn in 0..turns {
-        let now = NOW.plus(turn * 200);
+    for period in 0..periods {
+        let now = NOW.plus(period * 200);
         for (rank, served) in served.iter_mut().enumerate() {
             view.rank = rank as u64;
             let mut admission = scene.admission(now);
@@ -387,12 +388,12 @@
             *served += u64::from(went);
         }
     }
-    expect_that!(sent / turns, all!(ge(7), le(11)));
+    expect_that!(sent / periods, all!(ge(7), le(11)));
     expect_that!(served.iter().filter(|count| **count == 0).count(), le(3));
-    // Nobody sends while it is full, however many wait.
-    scene.standings.insert(tag, sum(25, 30));
-    for turn in 0..turns {
-        let now = NOW.plus(turn * 200);
+    // No instance sends while the endpoint is full, however many requests wait.
+    scene.reported_loads.insert(tag, sum(25, 30));
+    for period in 0..periods {
+        let now = NOW.plus(period * 200);
         let verdict = scene
             .admission(now)
             .submit(now, &scene.view(), keyed(1, 0, now));
--- a/crates/citronway-core/tests/gateway_assignment.rs
+++ b/crates/citronway-core/tests/gateway_assignment.rs
@@ -1,4 +1,4 @@
-//! The stored form of an assignment.
+//! Stored forms of an assignment.
 
 use citronway_core::gateway::assignment::{
     Assignment, FENCES_PER_MOVE, Holder, MAX_RANGES, MAX_ROW_BYTES, Range, max_ranges,
@@ -85,7 +85,7 @@
     }
 }
 
-fn born_holder(i: usize, fence: u64) -> Holder {
+fn holder_with_start_time(i: usize, fence: u64) -> Holder {
     let born_ms = 1_764_000_000_000 + i as u64 * 999_999;
     Holder {
         endpoint: EndpointStart::new(&format!("i-{i:010x}"), Some(born_ms)),
@@ -111,17 +111,17 @@
         full.ranges.push(Range {
             first,
             last,
-            holder: born_holder(i % 400, fence),
-            next: Some(born_holder((i + 1) % 400, fence + 7)),
+            holder: holder_with_start_time(i % 400, fence),
+            next: Some(holder_with_start_time((i + 1) % 400, fence + 7)),
         });
     }
-    // A row holds 65,536 bytes before they are written in base64: one of 64,000 was taken.
+    // The store's limit of 65,536 bytes applies before base64 encoding: it accepts a row of 64,000.
     expect_that!(full.to_bytes().or_fail()?.len(), lt(65_536));
     Ok(())
 }
 
-/// While a hot range is cut up, instances get only what changed. What they then believe
-/// must be the stored row, whatever was cut, moved or joined.
+/// While a hot range is split, instances receive only deltas. The row that results must be the
+/// stored one, whatever was split, moved or joined.
 #[gtest]
 fn changes_lead_from_one_row_to_the_next() -> Result<()> {
     let before = some();
@@ -166,17 +166,17 @@
     Ok(())
 }
 
-/// All instances are restarted in turn, and for a while one of the version before keeps. It
-/// reads rows without the starts' births and writes them so. The holders in such a row are
-/// starts of which nothing more is known, not those that are listed under the names.
+/// During a rolling restart an instance of the previous version leads for a while. It ignores the
+/// start times of endpoints and writes rows without them. The holders in such a row are starts of
+/// unknown age, not those that are listed under the same names.
 #[gtest]
-fn rows_of_the_version_before_name_starts_without_birth() -> Result<()> {
+fn rows_of_the_previous_version_name_starts_without_start_times() -> Result<()> {
     let mut row = some();
     row.ranges[0].holder.endpoint = EndpointStart::new("i-1", Some(1_764_000_000_123));
     let text = String::from_utf8(row.to_bytes().or_fail()?)?;
     let read = Assignment::from_bytes(text.as_bytes()).or_fail()?;
     expect_that!(read, eq(&row));
-    // The list of names is as it was, for readers that do not know of births.
+    // The list of names is unchanged, for readers that do not know of start times.
     expect_that!(text, contains_substring(r#""endpoints":[["i-1","#));
     let mut old: serde_json::Value = serde_json::from_str(&text)?;
     old.as_object_mut().or_fail()?.remove("born");
@@ -191,8 +191,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, ..ProptestConfig::default() })]
 
-    /// Other writers reach the table, and bytes get damaged. A row that is read gives each
-    /// key to one range, so that nobody is asked for keys of two.
+    /// Other processes may write to the table, and bytes may be damaged. A row that is accepted
+    /// assigns each key to exactly one range, so that no key has two owners.
     #[test]
     fn a_damaged_row_is_refused_or_covers_all_keys(
         flips in proptest::collection::vec((any::<usize>(), any::<u8>()), 1..4),
@@ -217,9 +217,9 @@
     }
 }
 
-/// A release replaces all endpoints of a large service while hot ranges are cut up: the row
-/// names the old and the new start of each, and every range moves. The store refused it, the
-/// write was tried again for ever, and nothing moved or healed any more.
+/// A release replaces all endpoints of a large service while hot ranges are split: the row names
+/// the old and the new start of each, and every range moves. If the store refuses the row, the
+/// write is retried forever and no move ends.
 #[gtest]
 fn the_row_of_a_large_service_fits_while_all_endpoints_are_replaced() -> Result<()> {
     let start = |i: usize, age: u64| Holder {
@@ -260,17 +260,17 @@
     Ok(())
 }
 
-/// With 300 instances and 3,002 endpoints, two callers in three are refused (0.40 of the worth
-/// of all requests; 0.97 with 30 instances and 300 endpoints). A row that gives keys to 2,500
-/// endpoints has more bytes than the store takes, so most of them cannot be given any. Whether
-/// that is all of the cause is open: the leader's processor is used up as well.
+/// With 300 instances and 3,002 endpoints, two callers in three are refused: 0.40 of the worth of
+/// all requests is served, against 0.97 with 30 instances and 300 endpoints. A row that assigns
+/// keys to 2,500 endpoints exceeds the store's size limit, so most endpoints get none. This may
+/// not be the only cause, since the leader's processor is saturated as well.
 #[gtest]
-fn the_first_division_among_2_500_endpoints_fits_into_a_row() -> Result<()> {
+fn the_first_assignment_of_2_500_endpoints_fits_into_a_row() -> Result<()> {
     let endpoints = 2_500;
     let range = |i: usize| Range {
         first: u16::try_from(i * 65_536 / endpoints).unwrap(),
         last: u16::try_from((i + 1) * 65_536 / endpoints - 1).unwrap(),
-        holder: born_holder(i, i as u64 * FENCES_PER_MOVE),
+        holder: holder_with_start_time(i, i as u64 * FENCES_PER_MOVE),
         next: None,
     };
     let assignment = Assignment {
@@ -281,8 +281,8 @@
     Ok(())
 }
 
-/// A row as it stands after a day: endpoints with names, addresses and births of their own, in
-/// any order, and a part of the ranges on their way.
+/// A row as it looks after a day: endpoints with unrelated names, addresses and start times, in
+/// any order, and `moving` moving ranges.
 fn used_row(seed: u64, endpoints: usize, moving: usize) -> Assignment {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut holder = |fence: u64| Holder {
@@ -314,7 +314,7 @@
     }
 }
 
-/// Guards against a row of 2,500 endpoints that fits only where its numbers are regular.
+/// Guards against a row of 2,500 endpoints that fits only if its numbers are regular.
 #[gtest]
 fn rows_of_2_500_endpoints_fit_after_a_day_of_moves() -> Result<()> {
     for seed in 0..8 {
@@ -325,7 +325,7 @@
     Ok(())
 }
 
-/// Guards against a cut that a service of thousands of endpoints is refused for its size alone.
+/// Guards against a split that is refused only because a service has thousands of endpoints.
 #[gtest]
 fn a_service_may_have_more_ranges_than_endpoints() {
     for endpoints in [1, 600, 960, 2_500, 6_000] {
@@ -337,7 +337,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
-    /// Guards against a damaged packed row that ends the process or leaves keys to two owners.
+    /// Guards against a damaged packed row that ends the process or assigns keys to two owners.
     #[test]
     fn a_damaged_packed_row_is_refused_or_covers_all_keys(
         flips in proptest::collection::vec((any::<usize>(), any::<u8>()), 1..4),
--- a/crates/citronway-core/tests/gateway_crash_ledger.rs
+++ b/crates/citronway-core/tests/gateway_crash_ledger.rs
@@ -1,4 +1,4 @@
-//! Which work is taken as harmful, how long, and what an instance is told of it.
+//! Crash ledger: which work is harmful, for how long, and what is reported about it.
 
 use citronway_core::gateway::crashes::{
     CRASH_EXPIRY_MS, Fingerprint, HARMFUL_CRASHES, Ledger, MAX_SIGNS_PER_REPORT, RefusedWork, Sign,
@@ -14,7 +14,7 @@
 const BAD: Fingerprint = Fingerprint(1);
 const OTHER: Fingerprint = Fingerprint(2);
 
-/// Time between two tries of work that comes again and again, in milliseconds.
+/// Interval between two attempts at work that arrives repeatedly, in milliseconds.
 const AGAIN_MS: u64 = 5_000;
 
 const fn crash(work: Fingerprint, endpoint: u32) -> Sign {
@@ -26,7 +26,8 @@
     ledger.is_refused(now, work)
 }
 
-/// Crashes that many endpoints with one work, seconds apart; returns when.
+/// Crashes each of the endpoints with the work, seconds apart; returns the time of the last
+/// crash.
 fn crash_all(ledger: &mut Ledger, work: Fingerprint, endpoints: std::ops::Range<u32>) -> Mono {
     let mut now = Mono(0);
     for endpoint in endpoints {
@@ -55,10 +56,10 @@
     expect_that!(refuses(&ledger, now.plus(AGAIN_MS), OTHER), eq(false));
 }
 
-/// Eight tries of one work were at an endpoint that crashed, from five instances, and each
-/// told of it. That is one crash, not eight.
+/// Eight attempts at one work, from five instances, were at an endpoint that crashed, and each one
+/// is reported. That is one crash, not eight.
 #[gtest]
-fn one_crash_counts_once_however_many_copies_and_tellers_there_are() {
+fn one_crash_counts_once_however_many_copies_and_reporters_there_are() {
     let mut ledger = Ledger::default();
     for _ in 0..8 {
         ledger.apply(Mono(0), crash(BAD, 1));
@@ -77,8 +78,8 @@
     expect_that!(ledger.is_empty(), eq(true));
 }
 
-/// A popular lookup runs everywhere all the time, so it is at each endpoint that crashes by
-/// other work. It is answered between two crashes, which harmful work never is.
+/// A popular request runs at every endpoint all the time, so it is at each endpoint that other work
+/// crashes. It is answered between two crashes, which harmful work never is.
 #[gtest]
 fn work_that_an_endpoint_runs_to_its_end_is_cleared() {
     let mut ledger = Ledger::default();
@@ -92,8 +93,8 @@
     expect_that!(refuses(&ledger, Mono(20 * AGAIN_MS), BAD), eq(true));
 }
 
-/// A rack with ten endpoints is lost, then the one with their successors, and a third one. A
-/// caller's request was sent to one of each and crashed none of them.
+/// A rack with ten endpoints is lost, then the rack with their replacements, and then a third one.
+/// A request was sent to one endpoint of each and crashed none of them.
 #[gtest]
 fn work_that_meets_losses_of_machines_is_not_harmful() {
     let mut ledger = Ledger::default();
@@ -110,10 +111,10 @@
     expect_that!(ledger.harmful(now), is_empty());
 }
 
-/// The third crash of such work is the first of a rack that anybody hears of. It is refused
-/// for a moment, is not told of or stored, and is let go with the news of the others.
+/// The third crash of innocent work is the first reported one of a lost rack. The work is refused
+/// for a moment, is not reported or stored, and is cleared when the other crashes are reported.
 #[gtest]
-fn a_loss_of_machines_that_shows_late_lets_work_go() {
+fn a_loss_of_machines_that_shows_late_clears_work() {
     let mut ledger = Ledger::default();
     let now = crash_all(&mut ledger, OTHER, 0..3);
     expect_that!(refuses(&ledger, now, OTHER), eq(true));
@@ -134,26 +135,26 @@
     expect_that!(refuses(&ledger, Mono(10), BAD), eq(true));
 }
 
-/// Harmful work comes every few seconds for three quarters of an hour. It is tried again now
-/// and then, so that innocent work gets free, and each such try may cost an endpoint.
+/// Harmful work arrives every few seconds for three quarters of an hour. Refused work is tried
+/// again occasionally, so that innocent work can be cleared, and each attempt may cost an endpoint.
 #[gtest]
 fn harmful_work_that_comes_again_and_again_is_tried_three_more_times_in_three_quarters_of_an_hour()
 {
     let mut ledger = Ledger::default();
     let third = crash_all(&mut ledger, BAD, 0..3);
-    let mut tries = 0;
+    let mut attempts = 0;
     for n in 1..=540 {
         let now = third.plus(n * AGAIN_MS);
         ledger.expire(now);
         if !refuses(&ledger, now, BAD) {
-            tries += 1;
-            ledger.apply(now, crash(BAD, 100 + tries));
+            attempts += 1;
+            ledger.apply(now, crash(BAD, 100 + attempts));
         }
     }
-    expect_that!(tries, le(3));
+    expect_that!(attempts, le(3));
 }
 
-/// Time after which work that was refused once is tried again.
+/// Time from `since` after which refused work is tried again, in milliseconds.
 fn refused_for(ledger: &Ledger, since: Mono, work: Fingerprint) -> u64 {
     let tried = |ms: &u64| !refuses(ledger, since.plus(*ms), work);
     (0..4_000_000)
@@ -178,8 +179,8 @@
     expect_that!(refuses(&ledger, later, OTHER), eq(false));
 }
 
-/// Thirty works were at the same three endpoints. Tried again at the same moment, the harmful
-/// one among them would take the others along once more.
+/// Thirty works were at the same three endpoints. If they are tried again at the same time, the
+/// crash of the harmful one is blamed on the others once more.
 #[gtest]
 fn works_that_crashed_together_are_tried_again_apart() {
     let mut ledger = Ledger::default();
@@ -196,9 +197,9 @@
     expect_that!(times.len(), ge(10));
 }
 
-/// Harmful work is tried again; its caller repeats it at once at two other instances, which have
-/// not heard of the crash. Of a hundred instances, few try it again at the same moment, and all
-/// do before long.
+/// Harmful work is tried again, and its caller retries at once at two other instances, which do not
+/// know of the crash. Of a hundred instances, few try it again at the same time, and all do
+/// eventually.
 #[gtest]
 fn instances_try_work_again_one_after_the_other() {
     let mut ledger = Ledger::default();
@@ -213,10 +214,10 @@
     expect_that!(tried(first.plus(60_000)), eq(100));
 }
 
-/// An endpoint answers work that was refused. The stored row and a leader that has not heard
-/// of it name the work for a moment longer; it must not be refused anew by them.
+/// An endpoint answers work that was refused. The stored row, and a leader that does not know of
+/// the answer, name the work for a while longer, which must not make it refused again.
 #[gtest]
-fn a_let_go_holds_against_those_that_have_not_heard_of_it() {
+fn cleared_work_is_not_refused_by_outdated_reports() {
     let mut ledger = Ledger::default();
     let now = crash_all(&mut ledger, OTHER, 0..3);
     ledger.apply(now, Sign::Answered { work: OTHER });
@@ -230,10 +231,10 @@
     expect_that!(ledger.apply_refused(now.plus(200), newer), some(anything()));
 }
 
-/// The instances that saw the crashes are lost. One that starts reads the stored row, refuses
-/// the work, tries it again after its time, and refuses it for longer after one more crash.
+/// The instances that saw the crashes are lost. A new instance reads the stored row, refuses the
+/// work, tries it again after the refusal, and refuses it for longer after one more crash.
 #[gtest]
-fn what_was_told_is_treated_like_what_was_seen() {
+fn reported_harmful_work_is_treated_like_observed_one() {
     let mut ledger = Ledger::default();
     let refused = RefusedWork {
         work: BAD,
@@ -248,9 +249,9 @@
     expect_that!(refused_for(&ledger, Mono(ms), BAD), ge(5 * ms));
 }
 
-/// An instance was cut off when the work was taken as harmful and sends it on. All others
-/// refuse it for longer from then on, as after a try of their own; a run that was under way
-/// when it was refused changes nothing.
+/// An instance was cut off when the work was found harmful, and continues to send it. All others
+/// then refuse it for longer, as after an attempt of their own. An attempt that was running when
+/// the work was refused changes nothing.
 #[gtest]
 fn a_crash_long_after_work_was_refused_counts_as_a_new_try() {
     let crashed_after = |ms| {
@@ -263,8 +264,8 @@
     expect_that!(crashed_after(5_000), ge(200_000));
 }
 
-/// Harmful work is at an endpoint at the moment of each of three losses of machines. They
-/// excuse one of its crashes.
+/// Harmful work is at an endpoint during each of three losses of machines. Only one of its crashes
+/// is attributed to them.
 #[gtest]
 fn losses_of_machines_do_not_excuse_harmful_work_again_and_again() {
     let mut ledger = Ledger::default();
@@ -278,8 +279,8 @@
     expect_that!(refuses(&ledger, Mono(4 * AGAIN_MS), BAD), eq(true));
 }
 
-/// A caller crashes endpoints with thousands of requests of its own. The table forgets its
-/// oldest suspects; what is harmful stays, and nobody is refused because of it.
+/// A caller crashes endpoints with thousands of different requests. The ledger evicts its oldest
+/// suspects and keeps harmful work, and no other work is refused.
 #[gtest]
 fn a_full_table_forgets_suspects_and_refuses_nobody() {
     let mut ledger = Ledger::default();
@@ -318,7 +319,7 @@
     }
 }
 
-/// Datagrams are lost; each sign is told in several reports and counts once, in order.
+/// Datagrams may be lost, so each sign is sent in several reports; it counts once, in order.
 #[gtest]
 fn signs_come_once_each_though_reports_are_lost_and_repeat_them() {
     let all: Vec<_> = (0..300).map(|n| crash(BAD, n)).collect();
@@ -355,7 +356,7 @@
     );
 }
 
-/// Guards against work that the row names nowhere while it becomes harmful.
+/// Guards against work that the stored row does not name while it becomes harmful.
 #[gtest]
 fn work_that_has_just_become_harmful_is_remembered() {
     let mut ledger = Ledger::default();
@@ -365,13 +366,13 @@
     let remembered = ledger.suspects_to_store(now);
     let works: Vec<_> = remembered.iter().map(|suspect| suspect.work).collect();
     expect_that!(works, elements_are![eq(&BAD)]);
-    // Once it is stored as harmful, it is no suspect.
+    // Once it is stored as harmful, it is no longer stored as a suspect.
     let settled = now.plus(2_000);
     expect_that!(ledger.harmful(settled), len(eq(1)));
     expect_that!(ledger.suspects_to_store(settled), is_empty());
 }
 
-/// Guards against crashes that are counted anew once all instances have ended and started again.
+/// Guards against crashes that are no longer counted after a restart of all instances.
 #[gtest]
 fn crashes_that_the_store_remembers_count_on() {
     let mut before = Ledger::default();
@@ -384,7 +385,7 @@
     }
     expect_that!(after.is_suspect(BAD), eq(true));
     expect_that!(refuses(&after, now, BAD), eq(false));
-    // The same crash, told by another instance, is no further one.
+    // The same crash, reported by another instance, does not count again.
     after.apply(now, crash(BAD, 1));
     expect_that!(refuses(&after, now, BAD), eq(false));
     after.apply(now, crash(BAD, 2));
--- a/crates/citronway-core/tests/gateway_crash_trials.rs
+++ b/crates/citronway-core/tests/gateway_crash_trials.rs
@@ -1,4 +1,4 @@
-//! Which copy of work under suspicion is sent.
+//! Trials of suspect work: which copy is sent.
 
 use citronway_core::gateway::crashes::{
     Fingerprint, InstancePosition, TIME_SLICE_MS, TrialEnd, TrialGrant, TrialId, TrialRequest,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Guards against two copies at endpoints at once, of one instance or of two.
+/// Guards against two copies at endpoints at the same time, from one instance or from two.
 #[gtest]
 fn one_copy_is_tried_at_a_time() {
     let mut trials = Trials::default();
@@ -46,7 +46,7 @@
     expect_that!(trials.request(later, &req(2, 1)), eq(TrialGrant::Granted));
 }
 
-/// Guards against a trial that is refused to its own holder when a datagram comes twice.
+/// Guards against a trial that is refused to its own holder when a datagram is duplicated.
 #[gtest]
 fn a_request_that_comes_twice_is_granted_twice() {
     let mut trials = Trials::default();
@@ -56,7 +56,8 @@
     }
 }
 
-/// Guards against work that nobody may try any more, since the instance that did was lost.
+/// Guards against work that can never be tried again because the instance with its trial was
+/// lost.
 #[gtest]
 fn a_trial_whose_end_is_not_told_ends_with_its_caller() {
     let mut trials = Trials::default();
@@ -67,9 +68,9 @@
     expect_that!(grant, eq(TrialGrant::Granted));
 }
 
-/// Guards against copies that are held back though the work was answered a moment ago.
+/// Guards against copies that are held back although the work has just been answered.
 #[gtest]
-fn an_answer_lets_all_copies_go_until_the_next_crash() {
+fn an_answer_allows_all_copies_until_the_next_crash() {
     let mut trials = Trials::default();
     trials.request(Mono(0), &req(1, 1));
     trials.record_end(Mono(200), req(1, 1).id, WORK, TrialEnd::Answered);
@@ -88,7 +89,7 @@
     );
 }
 
-/// Guards against an end that comes late and closes the trial of another copy.
+/// Guards against a late end that closes the trial of another copy.
 #[gtest]
 fn the_end_of_another_trial_ends_nothing() {
     let mut trials = Trials::default();
@@ -119,9 +120,9 @@
     expect_that!(late, eq(TrialGrant::Granted));
 }
 
-/// Guards against copies that were refused together and come back together, or too late.
+/// Guards against copies that were refused together and are retried together, or too late.
 #[gtest]
-fn copies_come_back_after_the_trial_at_moments_of_their_own() {
+fn copies_are_retried_after_the_trial_at_different_times() {
     let left_ms = 3_000;
     let times: Vec<_> = (0..16)
         .map(|number| copy_retry_after_ms(EXPECTED_MS, left_ms, number))
@@ -133,36 +134,42 @@
     expect_that!(copy_retry_after_ms(5_000, left_ms, 3), eq(left_ms / 3));
 }
 
-/// Guards against copies that go out together, or never, where no leader answers.
+/// Guards against copies that are sent together, or never, while no leader answers.
 #[gtest]
 fn without_a_leader_instances_try_work_one_after_the_other() {
-    let heard = Mono(1_000);
-    for of in [1, 12, 16] {
-        for turn in 0..of {
-            let begins = heard.plus(turn * TIME_SLICE_MS);
+    let crash_seen_at = Mono(1_000);
+    for total in [1, 12, 16] {
+        for slice in 0..total {
+            let begins = crash_seen_at.plus(slice * TIME_SLICE_MS);
             let ends = begins.plus(TIME_SLICE_MS - 1);
-            let try_it =
-                |now| (0..of).filter(move |b| may_try_without_leader(now, heard, place(*b, of)));
-            expect_that!(try_it(begins).collect::<Vec<_>>(), elements_are![eq(&turn)]);
-            expect_that!(try_it(ends).collect::<Vec<_>>(), elements_are![eq(&turn)]);
+            let try_it = |now| {
+                (0..total).filter(move |b| {
+                    may_try_without_leader(now, crash_seen_at, position(*b, total))
+                })
+            };
+            expect_that!(
+                try_it(begins).collect::<Vec<_>>(),
+                elements_are![eq(&slice)]
+            );
+            expect_that!(try_it(ends).collect::<Vec<_>>(), elements_are![eq(&slice)]);
         }
     }
 }
 
-/// Guards against instances of a large fleet that wait for their turn for minutes.
+/// Guards against instances of a large fleet that wait minutes for their time slice.
 #[gtest]
-fn in_a_large_fleet_a_turn_comes_within_seconds() {
-    let heard = Mono(1_000);
+fn in_a_large_fleet_a_time_slice_comes_within_seconds() {
+    let crash_seen_at = Mono(1_000);
     for before in [0, 17, 294] {
-        let turns = (0..16).filter(|turn| {
-            let now = heard.plus(turn * TIME_SLICE_MS);
-            may_try_without_leader(now, heard, place(before, 295))
+        let slices = (0..16).filter(|slice| {
+            let now = crash_seen_at.plus(slice * TIME_SLICE_MS);
+            may_try_without_leader(now, crash_seen_at, position(before, 295))
         });
-        expect_that!(turns.count(), eq(1));
+        expect_that!(slices.count(), eq(1));
     }
 }
 
-/// Guards against a second copy where the leader changes while one is being tried.
+/// Guards against a second copy when the leader changes while one is under trial.
 #[gtest]
 fn a_new_leader_grants_nothing_for_a_moment() {
     let mut trials = Trials::for_new_leader(Mono(1_000));
@@ -174,6 +181,6 @@
     expect_that!(grant, eq(TrialGrant::Granted));
 }
 
-const fn place(before: u64, of: u64) -> InstancePosition {
-    InstancePosition { before, total: of }
+const fn position(before: u64, total: u64) -> InstancePosition {
+    InstancePosition { before, total }
 }
--- a/crates/citronway-core/tests/gateway_fingerprints.rs
+++ b/crates/citronway-core/tests/gateway_fingerprints.rs
@@ -1,4 +1,4 @@
-//! Fingerprints: the same for tries of one work, others for all else.
+//! Fingerprints: equal for attempts at the same work, different for all other work.
 
 use citronway_core::gateway::crashes::{FingerprintKey, Work};
 use googletest::prelude::*;
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn tries_of_one_work_have_one_fingerprint_under_one_key() {
+fn attempts_at_one_work_have_one_fingerprint_under_one_key() {
     expect_that!(work().fingerprint(&key()), eq(work().fingerprint(&key())));
     let other = FingerprintKey::new([8; 16]);
     expect_that!(
@@ -28,8 +28,8 @@
     );
 }
 
-/// A caller crashes endpoints with requests that are like another's but for one part, or that
-/// divide the same bytes otherwise, and the other's work is refused.
+/// A caller crashes endpoints with requests that differ from another caller's in one part, or that
+/// divide the same bytes differently. With equal fingerprints the other's work would be refused.
 #[gtest]
 fn each_part_tells_work_apart() {
     let others = [
