--- a/crates/citronway-core/src/gateway/cold.rs
+++ b/crates/citronway-core/src/gateway/cold.rs
@@ -6,7 +6,7 @@
 
 use indexmap::IndexMap;
 
-use crate::gateway::leader::{LeaderSettings, PredecessorLimits};
+use crate::gateway::leader::{FormerLeaderLimits, LeaderSettings};
 use crate::gateway::pace::EndpointTag;
 use crate::time::Mono;
 
@@ -55,7 +55,7 @@
     /// Start of the latest call to the store that confirmed it as leader.
     pub confirmed_at: Mono,
     /// Times until which former leaders may still act.
-    pub former_leader_limits: PredecessorLimits,
+    pub former_leader_limits: FormerLeaderLimits,
     /// Number of former leaders that are not known to have stopped.
     pub former_leaders: u32,
 }
--- a/crates/citronway-core/tests/gateway_cold.rs
+++ b/crates/citronway-core/tests/gateway_cold.rs
@@ -7,7 +7,7 @@
 use citronway_core::gateway::cold::{
     self, ColdGrant, ColdRequest, ColdSendLimiter, LeaderStanding,
 };
-use citronway_core::gateway::leader::{LeaderSettings, PredecessorLimits};
+use citronway_core::gateway::leader::{FormerLeaderLimits, LeaderSettings};
 use citronway_core::gateway::pace::EndpointTag;
 use citronway_core::time::Mono;
 use googletest::prelude::*;
@@ -34,7 +34,7 @@
 fn alone() -> LeaderStanding {
     LeaderStanding {
         confirmed_at: CONFIRMED,
-        former_leader_limits: PredecessorLimits::default(),
+        former_leader_limits: FormerLeaderLimits::default(),
         former_leaders: 0,
     }
 }
@@ -86,7 +86,7 @@
     fn add_concurrent_leader(&mut self, now: Mono, confirmed_at: Mono) {
         let standing = LeaderStanding {
             confirmed_at,
-            former_leader_limits: LeaderSettings::default().predecessor_limits(now),
+            former_leader_limits: LeaderSettings::default().former_leader_limits(now),
             former_leaders: u32::try_from(self.leaders.len()).unwrap(),
         };
         self.leaders.push(ColdSendLimiter::for_new_leader(now));
@@ -208,17 +208,17 @@
     let replaced = Mono(50_000);
     let standing = LeaderStanding {
         confirmed_at: CONFIRMED,
-        former_leader_limits: cfg.predecessor_limits(replaced),
+        former_leader_limits: cfg.former_leader_limits(replaced),
         former_leaders: 1,
     };
     let share = |ms| cold::granted_share(replaced.plus(ms), &cfg, &standing);
     expect_that!(share(0), none());
     expect_that!(share(cfg.connect_limit_ms + 100), some(eq(0.5)));
-    expect_that!(share(cfg.predecessor_wait_ms()), some(eq(1.0)));
+    expect_that!(share(cfg.former_leader_wait_ms()), some(eq(1.0)));
     let stopped = LeaderStanding {
         former_leader_limits: standing
             .former_leader_limits
-            .min(cfg.stopped_predecessor_limits(replaced)),
+            .min(cfg.stopped_former_leader_limits(replaced)),
         ..standing
     };
     let soon = replaced.plus(cfg.order_timeout_ms + 100);
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -7,7 +7,7 @@
     self, ElectionView, FormerLeader, LeaderRow, PeerState, Strength,
 };
 use citronway_core::gateway::leader::{
-    Action, Leader, LeaderSettings, Order, OrderResult, PredecessorLimits, WriteResult,
+    Action, FormerLeaderLimits, Leader, LeaderSettings, Order, OrderResult, WriteResult,
 };
 use citronway_core::gateway::report::Report;
 use citronway_core::ids::{ServiceName, Session, Version};
@@ -71,7 +71,7 @@
     first_claim: Option<(Version, Mono)>,
     former_leaders_stopped: bool,
     /// What former leaders may still do, and until when.
-    former_limits: PredecessorLimits,
+    former_limits: FormerLeaderLimits,
     /// The cause of unfitness that was last logged; `None` if this instance was fit.
     logged_unfit_cause: Option<&'static str>,
 }
@@ -93,7 +93,7 @@
             claim_after: Mono::default(),
             first_claim: None,
             former_leaders_stopped: false,
-            former_limits: PredecessorLimits::default(),
+            former_limits: FormerLeaderLimits::default(),
             logged_unfit_cause: None,
         }
     }
@@ -259,11 +259,11 @@
 
     /// What former leaders may still do, on the assumption that none is known to have
     /// stopped.
-    fn former_leader_limits(&self, now: Mono, cluster: &Cluster) -> PredecessorLimits {
+    fn former_leader_limits(&self, now: Mono, cluster: &Cluster) -> FormerLeaderLimits {
         let former = self.own_row.as_ref().map_or(&[][..], |row| &row.former);
         let store_ms = cluster.store_ms(now);
         let claimed = self.first_claim.map_or(now, |(_, at)| at);
-        let mut limits = self.cfg.predecessor_limits(now);
+        let mut limits = self.cfg.former_leader_limits(now);
         limits.hold_until = election::former_holds_until(now, &self.cfg, former, store_ms, claimed);
         if former.is_empty() {
             limits.connect_until = now;
@@ -281,7 +281,7 @@
 
     pub(super) fn on_order_done(&mut self, now: Mono, order: &Order, result: &OrderResult) {
         if let Some(leader) = self.leaders.get_mut(&order.service) {
-            leader.answered(now, order, result);
+            leader.handle_order_result(now, order, result);
         }
     }
 
@@ -330,7 +330,7 @@
         for service in cluster.sharded() {
             self.leaders.entry(service.clone()).or_insert_with(|| {
                 let mut leader = Leader::new(self.cfg, service);
-                leader.begin_term(self.confirmed_at, PredecessorLimits::default());
+                leader.begin_term(self.confirmed_at, FormerLeaderLimits::default());
                 leader
             });
         }
@@ -370,10 +370,10 @@
             self.former_leaders_stopped = true;
             self.former_limits = self
                 .former_limits
-                .min(self.cfg.stopped_predecessor_limits(now));
+                .min(self.cfg.stopped_former_leader_limits(now));
             log::info!(term = own_row.term; "former leaders have stopped");
             for leader in self.leaders.values_mut() {
-                leader.predecessor_stopped(now);
+                leader.former_leader_stopped(now);
             }
         }
     }
@@ -447,7 +447,7 @@
         let row = cluster.leader.as_ref();
         let term = row.map_or(0, |row| row.term).max(self.term) + 1;
         let store_ms = cluster.store_ms(now)?;
-        let wait_ms = self.cfg.predecessor_wait_ms() + CLOCK_MARGIN_MS;
+        let wait_ms = self.cfg.former_leader_wait_ms() + CLOCK_MARGIN_MS;
         let former = election::former_leaders_after(row, &peers, store_ms, wait_ms);
         let expected = row.map_or(Version(0), |row| row.version);
         let value = match own_rows::leader_value(&self.me, term, former) {
