--- a/crates/citronway-core/src/gateway/crashes/trials.rs
+++ b/crates/citronway-core/src/gateway/crashes/trials.rs
@@ -105,7 +105,7 @@
 }
 
 impl Trials {
-    /// Creates the trials of a new leader, which grants none for [`FORMER_TRIAL_MS`].
+    /// Creates the trials of a new leader, which grants none for `FORMER_TRIAL_MS`.
     ///
     /// Failure guarded against: the leader changes while a copy is under trial, and the new
     /// leader, which does not know of it, grants another trial.
