--- a/crates/citronway-core/src/dispatch/duplicates.rs
+++ b/crates/citronway-core/src/dispatch/duplicates.rs
@@ -50,7 +50,8 @@
 
 #[derive(Debug, Clone)]
 struct Known {
-    /// `None` if the predecessor that accepted the request did not pass it on.
+    /// `None` if the predecessor that accepted the request did not pass the
+    /// fingerprint on.
     fingerprint: Option<Fingerprint>,
     state: State,
 }
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Raises the floor to the start of the window and drops the ids below it.
+    /// Raises the floor to the start of the window and drops the ids below it, up
+    /// to the first whose request is pending.
     pub fn pass_time(&mut self, now: Wall) {
         self.raise_floor(now.minus(self.window_ms));
         while let Some((&id, known)) = self.known.first_key_value() {
@@ -183,7 +185,8 @@
     }
 
     /// Content of the table for a successor. If there are more ids than fit into
-    /// a message, these are the newest, and the floor lies above the others.
+    /// a message, only the newest are included, and the floor lies above the
+    /// others.
     #[must_use]
     pub fn export(&self) -> KnownRequests {
         let mut requests = Vec::new();
--- a/crates/citronway-core/src/dispatch/granting.rs
+++ b/crates/citronway-core/src/dispatch/granting.rs
@@ -134,9 +134,9 @@
         self.out.push(DispatchAction::EndpointBack);
     }
 
-    /// Updates the number of predecessor's orders from the endpoint's report. It
-    /// only decreases, so that a report that lags behind does not count orders of
-    /// this dispatcher as the predecessor's.
+    /// Updates the number of the predecessor's orders from the endpoint's report.
+    /// It only decreases: a report that lags behind would count orders of this
+    /// dispatcher as the predecessor's and take slots away for them.
     fn update_predecessor_orders(&mut self) {
         let Some(running) = self.health.reported_running() else {
             return;
--- a/crates/citronway-core/src/dispatch/grants.rs
+++ b/crates/citronway-core/src/dispatch/grants.rs
@@ -39,7 +39,8 @@
     last_sent: Wall,
 }
 
-/// What limits the endpoint's activity apart from this dispatcher's grants.
+/// What determines, apart from this dispatcher's grants, when a shard can be
+/// released.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     /// Whether the endpoint checks the epochs and ends of grants.
@@ -79,7 +80,7 @@
     }
 
     /// Replaces the set of assigned shards. Returns the key ranges of the shards
-    /// that are no longer served.
+    /// that were served until now and are no longer assigned.
     pub fn set_owned_shards(&mut self, shards: &[OwnedShard]) -> Vec<KeyRange> {
         let mut stopped = Vec::new();
         for owned in shards {
--- a/crates/citronway-core/src/dispatch/queue.rs
+++ b/crates/citronway-core/src/dispatch/queue.rs
@@ -87,9 +87,9 @@
     pub total_ms: u64,
     /// Service time of the requests of its own class among them, in milliseconds.
     pub own_ms: u64,
-    /// Time until its own class has been served this far at the present service
-    /// interval, in milliseconds; 0 for the first class, or if the interval is
-    /// not known.
+    /// Estimated time until the request leaves the queue at the present service
+    /// interval of its class, in milliseconds; 0 for the class of the highest
+    /// priority, or if the interval is not known.
     pub interval_wait_ms: u64,
     /// Kept share of its class, in hundredths.
     pub kept_share: u8,
@@ -142,8 +142,8 @@
                 };
                 let own = queue.waiting.range(..rank).count() as u64;
                 ahead.own_ms = own * times.ms(class);
-                // No class overtakes the first one; its service interval
-                // only adds noise.
+                // There is no class of higher priority that could overtake the
+                // first one, so its service interval only adds noise.
                 if index > 0 {
                     ahead.interval_wait_ms = queue.interval.wait_ms(own + 1);
                 }
--- a/crates/citronway-core/src/dispatch/sending.rs
+++ b/crates/citronway-core/src/dispatch/sending.rs
@@ -10,7 +10,7 @@
 
 impl Dispatcher {
     /// Sends queued requests while slots are free. The caller has checked that
-    /// the role is held.
+    /// this session may act as dispatcher.
     pub(super) fn send_orders(&mut self, turn: Turn) {
         let slots = &self.slots;
         let limit = self.limit.slots();
--- a/crates/citronway-core/src/hold/dispatcher_state.rs
+++ b/crates/citronway-core/src/hold/dispatcher_state.rs
@@ -1,5 +1,5 @@
-//! State of a session while the row names it as dispatcher: promises received and
-//! their rounds.
+//! State of a session while the dispatch row names it as dispatcher: promises
+//! received, and the rounds in which they were requested.
 
 use indexmap::{IndexMap, IndexSet};
 
@@ -8,15 +8,16 @@
 use crate::peer::KnownRequests;
 use crate::time::Mono;
 
-/// Why a session will not promise again, and what is proved about it: it is gone or
+/// What is known about a session that will not promise again, because it is gone or
 /// has renounced.
 #[derive(Debug, Clone)]
 struct Absence {
-    /// Latest round begun when the absence became known.
+    /// Number of the latest round that had begun when the absence became known.
     round: u64,
-    /// Latest read begun when the absence became known.
+    /// Number of the latest read that had begun when the absence became known.
     read: u64,
-    /// Latest write submitted when the absence became known.
+    /// Number of the latest write that had been submitted when the absence became
+    /// known.
     write: u64,
     /// Whether it is proved that the session never acted as a later dispatcher.
     never_acted: bool,
@@ -62,7 +63,8 @@
     pub nominee: Option<Nominee>,
     /// Nominees that did not answer.
     pub unresponsive: IndexSet<Session>,
-    /// Sessions that may still accept an offer that was withdrawn.
+    /// Sessions that may still accept an offer that was withdrawn; they are not
+    /// nominated.
     pub barred: IndexSet<Session>,
     /// Set once the dispatcher has stopped acting to hand over.
     pub offer: Option<Offer>,
@@ -70,7 +72,7 @@
     absent: IndexMap<Session, Absence>,
     rounds: IndexMap<u64, Mono>,
     round: u64,
-    /// Latest round begun when the lists last changed.
+    /// Number of the latest round that had begun when the lists last changed.
     lists_round: u64,
     last_round_at: Option<Mono>,
 }
@@ -137,11 +139,11 @@
     }
 
     /// Records a promise that answers `round`. Returns false if the round has
-    /// expired or `from` was not asked.
+    /// expired or was discarded, or if `from` was not asked.
     ///
     /// Failure guarded against: a promise that was delayed for long revives an
-    /// expired hold. It counts from the start of its round, so a late one extends
-    /// nothing.
+    /// expired hold. Promises count from the start of their round, so a late one
+    /// extends nothing.
     pub fn record_promise(
         &mut self,
         from: &Session,
@@ -160,7 +162,8 @@
         true
     }
 
-    /// Discards the promise of `session`, and all promises still in flight.
+    /// Discards the promise of `session` and all rounds, so that no promise still
+    /// in flight is recorded.
     ///
     /// Failure guarded against: a session accepts the offered role, acts and dies
     /// while its promise is unexpired. The promise would then be taken as proof
@@ -230,10 +233,10 @@
     /// Failure guarded against: a successor takes over after its promise has
     /// expired, adds new successors and dies. The old dispatcher learns only that
     /// this successor is gone, no longer requires its promise, and acts at the same
-    /// time as the new successors. So being gone replaces a promise only with a
-    /// proof that the session never acted: its promise was unexpired when its end
-    /// became known, or see [`Self::prove_by_promise`] and
-    /// [`Self::prove_by_store`].
+    /// time as the new successors. So the promise of a gone session is required
+    /// until it is proved that the session never acted: by that promise, if it was
+    /// unexpired when the session became known to be gone, by
+    /// [`Self::prove_by_promise`] or by [`Self::prove_by_store`].
     pub fn mark_gone(&mut self, session: &Session, read: u64, write: u64, now: Mono) {
         if self.is_absent(session) {
             return;
@@ -247,9 +250,9 @@
         self.absent.insert(session.clone(), absence);
     }
 
-    /// Records that `session` has renounced while it knew no newer row than this
-    /// session. It has settled all its writes, so it never acted as a later
-    /// dispatcher.
+    /// Records that `session` has renounced further writes while it knew no newer
+    /// row than this session knows. It has settled all its writes, so it never
+    /// acted as a later dispatcher.
     pub fn mark_renounced(&mut self, session: &Session) {
         let absence = Absence {
             round: self.round,
@@ -261,7 +264,8 @@
     }
 
     /// Records what a promise of `from` in `round` proves: an absent session never
-    /// acted if every list that names it also names `from`.
+    /// acted if every list that names it also names `from`, and the round began
+    /// after the lists last changed and after the absence became known.
     ///
     /// To act, the absent session would have needed a promise of `from` under a
     /// higher epoch, after which `from` would not have promised to this dispatcher.
@@ -282,12 +286,12 @@
         }
     }
 
-    /// Records what a row proves that names this session as dispatcher, and that
-    /// was read or written after sessions were known to be gone.
+    /// Records what is proved by a row that names this session as dispatcher, and
+    /// that was found by `read` or written by `write`.
     ///
-    /// A read begun, or a write submitted, after that time shows that these
-    /// sessions never took over. A write of theirs that is still in flight can only
-    /// name a gone dispatcher, with this session among the former ones.
+    /// If the read was begun, or the write submitted, after a session was known to
+    /// be gone, that session never took over. A write of it that is still in flight
+    /// can only name a gone dispatcher, with this session among the former members.
     pub fn prove_by_store(&mut self, read: u64, write: u64) {
         for absence in self.absent.values_mut() {
             if read > absence.read || write > absence.write {
--- a/crates/citronway-core/tests/dispatch_duplicates.rs
+++ b/crates/citronway-core/tests/dispatch_duplicates.rs
@@ -143,7 +143,7 @@
 /// A dispatcher hands over to its successor, which receives repeats of two
 /// bookings, one answered and one without an outcome at the handover, and a
 /// request whose id was used for another booking. The first repeat gets the
-/// answer, the second `may have run`, and nothing runs again.
+/// answer, the second `may have run`, and only a booking with a new id runs.
 #[gtest]
 fn handed_over_ids_are_known_to_the_successor() {
     let mut first = Harness::checking(2);
@@ -204,7 +204,8 @@
 
 /// Failure guarded against: a caller's clock is 300 ms fast, its booking is sent
 /// at once, and the dispatcher is lost. The successor's floor lies before the id,
-/// so the booking runs twice. It must wait until its time of creation has come.
+/// so a repeat of the booking runs again. A booking must not be sent before its
+/// id's time of creation.
 #[gtest]
 fn id_from_a_fast_clock_waits_for_its_time() {
     let mut harness = Harness::checking(2);
