--- a/crates/citronway-core/src/gateway/crashes/remembered.rs
+++ b/crates/citronway-core/src/gateway/crashes/remembered.rs
@@ -5,8 +5,8 @@
 use crate::time::Mono;
 
 impl Ledger {
-    /// Restores a suspect from the store at startup. Its crashes count from now, and they are no
-    /// evidence for a loss of machines.
+    /// Restores a suspect from the store at startup. Its crashes are dated `now` and are not
+    /// used to detect losses of machines.
     pub fn restore_suspect(&mut self, now: Mono, suspect: &StoredSuspect) {
         if !self.has_room(suspect.work) {
             return;
@@ -24,8 +24,8 @@
 
     /// Suspects to be stored: the newest ones, and work that has just become harmful.
     ///
-    /// Failure guarded against: work becomes harmful, so that it is no longer a suspect but not
-    /// yet reported as harmful, and a row that is written in between does not name it.
+    /// Failure guarded against: work has become harmful, so it is no longer a suspect, but it is
+    /// not yet reported as harmful. A row that is written in between names it as neither.
     #[must_use]
     pub fn suspects_to_store(&self, now: Mono) -> Vec<StoredSuspect> {
         let settled = self.harmful(now);
--- a/crates/citronway-core/src/gateway/leader/reach.rs
+++ b/crates/citronway-core/src/gateway/leader/reach.rs
@@ -6,16 +6,17 @@
 use crate::ids::EndpointStart;
 use crate::time::Mono;
 
-/// Fewest consecutive failures of a lost endpoint.
+/// Minimum number of consecutive failures for an endpoint to count as lost.
 const MIN_FAILURES: u32 = 2;
 
 /// Time after its last failure at which a lost endpoint is tried again, in milliseconds.
 ///
-/// A lost endpoint receives no orders that could reveal its recovery. This is longer than
+/// Until then it receives no orders, so its recovery would not show. The time is longer than
 /// the hold that must end before its keys can be reassigned.
 const LOST_RETRY_MS: u64 = 5_000;
 
-/// Share of lost endpoints from which on the leader itself counts as cut off, as a fraction.
+/// Smallest share of lost endpoints at which the leader itself counts as cut off: numerator and
+/// denominator.
 const CUT_OFF_SHARE: (usize, usize) = (3, 5);
 
 /// Reachability of each endpoint.
--- a/crates/citronway-core/tests/gateway_crash_trials.rs
+++ b/crates/citronway-core/tests/gateway_crash_trials.rs
@@ -1,4 +1,4 @@
-//! Trials of suspect work: which copy is sent.
+//! Trials of suspect work: which copies of the work may be sent, and when.
 
 use citronway_core::gateway::crashes::{
     Fingerprint, InstancePosition, TIME_SLICE_MS, TrialEnd, TrialGrant, TrialId, TrialRequest,
@@ -59,7 +59,7 @@
 /// Guards against work that can never be tried again because the instance with its trial was
 /// lost.
 #[gtest]
-fn a_trial_whose_end_is_not_told_ends_with_its_caller() {
+fn a_trial_whose_end_is_not_reported_ends_at_its_time_limit() {
     let mut trials = Trials::default();
     trials.request(Mono(0), &req(1, 1));
     let busy = trials.request(Mono(LIMIT_MS - 1), &req(2, 1));
--- a/crates/citronway-core/tests/gateway_election.rs
+++ b/crates/citronway-core/tests/gateway_election.rs
@@ -82,8 +82,8 @@
     );
 }
 
-/// Guards against a change of the leader with each instance after a restart of all: no instance
-/// has received reports yet, and each claims at once.
+/// Guards against repeated changes of the leader after all instances restart: none of them has
+/// received reports yet, and each would claim at once and replace the one before.
 #[gtest]
 fn an_instance_that_has_just_started_waits_before_it_claims() {
     let row = row("a");
@@ -226,7 +226,7 @@
     for late_ms in [0, 400, 3_000, 6_000] {
         let now = claimed.plus(late_ms);
         let until = former_holds_until(now, &cfg, &former, Some(store_ms + late_ms), claimed);
-        // The store may have confirmed it until this moment.
+        // The store may have confirmed the former leader until `now`.
         expect_that!(
             until,
             ge(now.plus(cfg.former_leader_wait_ms())),
@@ -331,7 +331,7 @@
 }
 
 /// All instances lose power together. The former leader restarts at its address and knows that its
-/// earlier process has ended, so it has to wait for no other.
+/// earlier process has ended, so it waits only for [`TAKEOVER_GRACE_MS`], not for other claimants.
 #[gtest]
 fn a_leader_that_starts_again_claims_at_once() {
     let mut row = row("front-7");
--- a/crates/citronway/src/gateway/control/cluster/mod.rs
+++ b/crates/citronway/src/gateway/control/cluster/mod.rs
@@ -34,8 +34,8 @@
 /// counts as hung. Polls are answered within a few milliseconds of a change.
 const BEHIND_MS: u64 = 400;
 
-/// Like [`BEHIND_MS`], for a table that was never read: the store answers a start within 20
-/// ms when all is well, and callers are refused until then.
+/// Like [`BEHIND_MS`], for a table that was never read: at a start the store answers within
+/// 20 ms when all is well, and callers are refused until then.
 const NEVER_READ_MS: u64 = 100;
 
 /// Silence of the store and of all other instances, in milliseconds, after which this
@@ -216,7 +216,7 @@
         self.rank
     }
 
-    /// Address to which the leader's reports go; `None` if it is not known.
+    /// Address at which the leader receives reports; `None` if it is not known.
     pub(super) fn leader_address(&self) -> Option<SocketAddr> {
         let leader = self.leader.as_ref()?;
         self.peers.address(&leader.instance)
--- a/crates/citronway/src/gateway/control/duty.rs
+++ b/crates/citronway/src/gateway/control/duty.rs
@@ -20,7 +20,7 @@
 use super::placing::Placer;
 use super::store::{IDLE_WAIT_MS, LEADER_WAIT_MS};
 
-/// Pause after a claim before the next one, in milliseconds.
+/// Minimum time between two writes of the leader's row by this instance, in milliseconds.
 const CLAIM_PAUSE_MS: u64 = 500;
 
 /// Margin in milliseconds by which the store's clock may be ahead of the estimate of it:
@@ -77,7 +77,7 @@
 }
 
 impl Leadership {
-    /// `known_since` is the latest time from which on a leader can know of this instance.
+    /// A leader can know of this instance from `known_since` on at the latest.
     pub(super) fn new(me: Session, strength: Strength, known_since: Mono) -> Self {
         Self {
             me,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Records that the store has listed this instance since `started`.
+    /// Records that the store listed this instance already when it started, at `started`.
     pub(super) fn set_known_since(&mut self, started: Mono) {
         self.known_since = started;
     }
@@ -378,8 +378,8 @@
         }
     }
 
-    /// Removes former leaders from the leader's row once all holds that they may have
-    /// granted have ended.
+    /// Removes former leaders from the leader's row once all of them are known to have
+    /// stopped, or all holds that they may have granted have ended.
     ///
     /// Failure: a former leader is gone for good and never reports that it has stopped.
     /// If it stayed in the row, each later leader would wait for it again before it assigns
--- a/crates/citronway/src/gateway/control/entries.rs
+++ b/crates/citronway/src/gateway/control/entries.rs
@@ -1,6 +1,6 @@
 //! Endpoints' entries, as they come from the store.
 //!
-//! An entry that can't be used lists no endpoint, also if an endpoint of its name was known
+//! An entry that can't be used lists no endpoint, even if an endpoint of its name was known
 //! before. All other entries stay in force.
 
 use std::sync::Arc;
--- a/crates/citronway/src/gateway/control/following.rs
+++ b/crates/citronway/src/gateway/control/following.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Whether a leader relays rows, or is expected to be replaced by one that does soon.
+    /// Whether a leader relays rows, or one that does is expected soon.
     pub(super) fn can_rely_on_relays(&mut self, now: Mono) -> bool {
         if self.cluster.has_relaying_leader(now) {
             self.relays_heard_at = now;
@@ -134,8 +134,8 @@
         let watches_store =
             self.leadership.is_leader() || self.leadership.watches_store(now, &self.cluster);
         // Load: the store is away for 8 s, and each of 295 instances tries three tables
-        // once a second. So only the leader and the standbys try, and tell the others when
-        // it is back.
+        // once a second. So only the leader and the instances that claim next try, and tell
+        // the others when it is back.
         if !watches_store
             && self.cluster.peers.is_large_fleet(now)
             && self.cluster.hears_leader(now)
--- a/crates/citronway/src/gateway/control/orders.rs
+++ b/crates/citronway/src/gateway/control/orders.rs
@@ -94,7 +94,8 @@
         OrderKind::Release => "release",
     };
     let renewed = matches!(result, OrderResult::Done { .. }) && what == "grant";
-    // These orders are tried again four times a second while the store is silent.
+    // Orders that end as not connected are tried again four times a second while the store is
+    // silent.
     let routine = renewed || *result == OrderResult::NotConnected;
     let level = if routine {
         log::Level::Debug
--- a/crates/citronway/src/gateway/control/placing.rs
+++ b/crates/citronway/src/gateway/control/placing.rs
@@ -15,15 +15,15 @@
 /// Time between two passes of the placement, in milliseconds: as often as reports come.
 const PLACE_INTERVAL_MS: u64 = 100;
 
-/// Time to the next pass after moves have started, in milliseconds: their effect shows in
-/// the queues first.
+/// Time to the next pass after moves have started, in milliseconds: their effect must first
+/// show in the queues.
 const AFTER_MOVES_MS: u64 = 300;
 
-/// Half-life of the weight of key samples whose load is steady, in milliseconds: an
-/// endpoint that serves seven requests a second has 60 samples in it.
+/// Half-life of key samples in the window for steady load, in milliseconds: the weights of
+/// the samples of an endpoint that serves seven requests a second add up to 60.
 const STEADY_HALF_LIFE_MS: f64 = 6_000.0;
 
-/// Half-life of the weight of key samples whose load changes, in milliseconds: a hot range
+/// Half-life of key samples in the window for changing load, in milliseconds: a hot range
 /// lasts a few seconds, and its callers queue until it is detected.
 const RECENT_HALF_LIFE_MS: f64 = 400.0;
 
--- a/crates/citronway/src/gateway/control/store.rs
+++ b/crates/citronway/src/gateway/control/store.rs
@@ -250,7 +250,7 @@
             };
             let lost = matches!(update, TableUpdate::Lost(_));
             loaded |= !lost;
-            // Failure: a poll that was sent while the store is silent hangs on after the
+            // Failure: a poll that was sent while the store is silent still hangs after the
             // store is back, and meanwhile an old configuration stays in force. Until the
             // store has answered again, calls do not wait.
             skip_wait = lost;
--- a/crates/citronway/tests/gateway_evacuation.rs
+++ b/crates/citronway/tests/gateway_evacuation.rs
@@ -59,7 +59,7 @@
             .remove("op", &format!("evacuate/{zone}"));
     }
 
-    /// Number of requests that ran in zone `a` after a moment.
+    /// Number of requests that ran in zone `a` after `since`.
     fn runs_in_a(&self, since: Instant) -> usize {
         let endpoints = [&self.deployment.a, &self.deployment.c];
         let ran = endpoints.iter().flat_map(|endpoint| endpoint.ran());
@@ -67,7 +67,7 @@
     }
 }
 
-/// Sends requests of both services to all instances until a moment; returns how many were
+/// Sends requests for both services to all instances until `end`; returns how many were
 /// served.
 fn call_until(instances: &[Instance], what: &str, end: Instant) -> usize {
     let mut served = 0;
