--- a/crates/citronway-core/src/gateway/admission/choose.rs
+++ b/crates/citronway-core/src/gateway/admission/choose.rs
@@ -17,10 +17,10 @@
 /// Time in which requests for a moving range wait for the next owner instead of being sent to
 /// the holder, in milliseconds.
 ///
-/// Load: the holder is asked to release the range within a few milliseconds of the row. With
-/// 87 instances and a hundred pending moves, each instance was refused by each holder, 40,000
-/// times a day, and exhausted its retry budget. A move that takes longer waits for a holder
-/// that does not answer the leader but may answer other instances.
+/// Load: the holder is asked to release the range within a few milliseconds after the row is
+/// written. With 87 instances and a hundred pending moves, each instance was refused by each
+/// holder, 40,000 times a day, and exhausted its retry budget. A move that takes longer waits for
+/// a holder that does not answer the leader but may answer other instances.
 const RELEASE_WAIT_MS: u64 = 1_000;
 
 /// Assumed slowness of a cold endpoint, relative to a warm one.
@@ -87,7 +87,7 @@
 }
 
 impl Admission {
-    /// Searches an endpoint for a job.
+    /// Searches for an endpoint that can take a job.
     pub(super) fn find(&mut self, now: Mono, view: &View, job: &Job) -> Selection {
         match job.key {
             Some(_) => self.find_owner(now, view, job),
@@ -310,7 +310,8 @@
         } else {
             OTHER_ZONE_LOAD
         };
-        // While an endpoint has free slots its queue is empty and only its speed counts.
+        // The first term is the request itself: at an endpoint without other requests only the
+        // speed and the zone count.
         (1.0 + used + far) * reported.slowness * cold * failing
     }
 }
@@ -464,8 +465,8 @@
             .map(|listed| listed.listing.slots)
             .sum(),
     };
-    // The queues of other instances are assumed to be like this one's, so that as many of each
-    // one's requests as of this instance's are ahead of the request.
+    // The queues of other instances are assumed to be like this one's: each has as many requests
+    // that go first, but all together no more than were reported.
     let own = f64::from(ahead);
     let others = f64::from(view.instances.max(1) - 1);
     let theirs = f64::from(reported.waiting).min(own * others);
--- a/crates/citronway-core/src/gateway/admission/mod.rs
+++ b/crates/citronway-core/src/gateway/admission/mod.rs
@@ -44,7 +44,8 @@
 const MOVE_RETRY_MS: u64 = 400;
 
 /// Shortest retry-after time while all endpoints of a service are in evacuated zones, in
-/// milliseconds. It lasts until a zone is restored or endpoints join in another zone.
+/// milliseconds. Requests can be served again once a zone is restored or endpoints join in
+/// another zone.
 const EVACUATED_RETRY_MS: u64 = 1_000;
 
 /// Retry-after time of an instance that shuts down, in milliseconds. The load balancer directs
@@ -374,8 +375,10 @@
     }
 }
 
-/// Refuses a request that cannot be served before its deadline; `ahead` is the number of
-/// requests before it. Returns `None` if it may still be served.
+/// Refuses a request that cannot be served before its deadline, or any request if `cause` is
+/// [`RefusalReason::Evacuated`]. Returns `None` if it may still be served.
+///
+/// `ahead` is the number of requests before it, `cause` is why it was not sent now.
 fn refuse_if_late(
     now: Mono,
     view: &View,
--- a/crates/citronway-core/src/gateway/budget.rs
+++ b/crates/citronway-core/src/gateway/budget.rs
@@ -7,8 +7,8 @@
 /// Length of one slice of the window, in milliseconds.
 const SLICE_MS: u64 = 1_000;
 
-/// Part of the limit that is used. The rest covers that instances count over differently aligned
-/// windows, and requests that end outside the window.
+/// Part of the limit that is used. The rest is a margin for windows of instances that are not
+/// aligned with each other, and for requests that end outside the window.
 const USED_PART: f64 = 0.7;
 
 /// Time in milliseconds before a larger number of instances is replaced by a smaller one. It is
--- a/crates/citronway-core/src/gateway/cold.rs
+++ b/crates/citronway-core/src/gateway/cold.rs
@@ -20,7 +20,7 @@
 /// Shortest time after which an instance is asked to retry, in milliseconds.
 const MIN_BUSY_MS: u64 = 20;
 
-/// Number of endpoints with a send time above which those whose time has passed are removed.
+/// Number of tracked endpoints from which on those whose next send time has passed are removed.
 const REMEMBERED_ENDPOINTS: usize = 4_096;
 
 /// An instance's query for permission to send a request to a cold endpoint.
@@ -65,8 +65,8 @@
 /// Failure guarded against: a leader that does not know of its replacement goes on granting
 /// beside its successor, and a cold endpoint gets twice the rate that it can handle. Therefore a
 /// leader that the store has not confirmed for a while leaves half of its share to a possible
-/// successor, and a successor leaves half of its share to each former leader for as long as
-/// that may act.
+/// successor, and a successor halves its share once for each former leader for as long as
+/// former leaders may act.
 #[must_use]
 pub fn granted_share(now: Mono, cfg: &LeaderSettings, standing: &LeaderStanding) -> Option<f64> {
     let unconfirmed_ms = now.since(standing.confirmed_at);
--- a/crates/citronway-core/src/gateway/crashes/ledger.rs
+++ b/crates/citronway-core/src/gateway/crashes/ledger.rs
@@ -16,8 +16,8 @@
 /// after its refusal has ended.
 pub const CRASH_EXPIRY_MS: u64 = 600_000;
 
-/// Most other endpoints that crash within [`TOGETHER_MS`] of a crash without having had its
-/// work, for the crash to be blamed on the work. With more of them, machines were lost.
+/// Most endpoints without the work that may crash within [`TOGETHER_MS`] of a crash that counts
+/// against the work. With more of them, machines were lost.
 const MAX_OTHER_CRASHES: usize = 2;
 
 /// Time within which crashes count as one loss of machines, in milliseconds: connections break
@@ -52,7 +52,8 @@
 /// milliseconds.
 const CLEARED_MS: u64 = 30_000;
 
-/// Most works in the ledger; beyond it the least recently reported suspects are evicted.
+/// Most works in the ledger. Beyond it the suspect whose last crash or first report by the leader
+/// is the oldest is evicted.
 const MAX_ENTRIES: usize = 4_096;
 
 /// Most works that are reported and stored as harmful.
@@ -160,8 +161,8 @@
         true
     }
 
-    /// Records that an endpoint crashed, and clears work that was refused shortly before if the
-    /// crash shows that machines were lost.
+    /// Records that an endpoint crashed. Work that was refused shortly before becomes a suspect
+    /// again if the crash shows that machines were lost.
     ///
     /// Failure guarded against: a rack is lost, and work that was sent to three of its
     /// endpoints one after the other is refused although it harmed none. Harmful work is at all
@@ -210,7 +211,8 @@
         Some(Verdict::Cleared { work, cause })
     }
 
-    /// Whether the work is refused now, by the time that is the same at all instances.
+    /// Whether the work is refused now, without the further delay that depends on the rank of an
+    /// instance. The result is the same for all ranks.
     #[must_use]
     pub fn is_refused(&self, now: Mono, work: Fingerprint) -> bool {
         let state = self.entries.get(&work).map(|entry| entry.state);
--- a/crates/citronway-core/src/gateway/crashes/trials.rs
+++ b/crates/citronway-core/src/gateway/crashes/trials.rs
@@ -66,9 +66,10 @@
     Granted,
     /// This and all other copies may be sent, since an endpoint has answered the work.
     Cleared,
-    /// Another copy is under trial.
+    /// The copy must not be sent now: another one is under trial, the leader is new, or too many
+    /// trials are open.
     Busy {
-        /// Time after which that trial has most likely ended, in milliseconds.
+        /// Time after which a trial is most likely possible, in milliseconds.
         for_ms: u64,
     },
 }
--- a/crates/citronway-core/src/gateway/election.rs
+++ b/crates/citronway-core/src/gateway/election.rs
@@ -140,7 +140,7 @@
     pub term: u64,
     /// Row that names the leader; `None` if there is none yet.
     pub row: Option<&'a LeaderRow>,
-    /// Time at which the row first named the present leader.
+    /// Time at which this instance first saw the present leader in the row.
     pub row_seen: Mono,
     /// Other instances.
     pub peers: &'a [PeerState],
@@ -240,7 +240,8 @@
     if let Some(position) = view.standbys.iter().position(|standby| standby == view.me) {
         return position as u64;
     }
-    // Strong machines claim first; all others are spread over the following steps.
+    // The standbys claim first, then machines of full strength; all others are spread over the
+    // following steps.
     let strong = view.strength == Strength::FULL;
     let steps = (view.instances as u64).div_ceil(CLAIMS_PER_STEP);
     let spread = rank_of(view.me) % if strong { CLAIMS_PER_STEP } else { steps };
--- a/crates/citronway-core/src/gateway/keyload.rs
+++ b/crates/citronway-core/src/gateway/keyload.rs
@@ -164,8 +164,8 @@
     /// The window to use for the load of a range: the long one, unless the load has clearly
     /// changed.
     ///
-    /// Load: of 200 hot keys an endpoint gets two or three whose load was underestimated by half
-    /// when they were distributed, after 0.3 s. Its queue (`queued`) shows that it is overloaded,
+    /// Load: of 200 hot keys that are distributed after 0.3 s, an endpoint gets two or three
+    /// whose load was underestimated by half. Its queue (`queued`) shows that it is overloaded,
     /// so a higher load in the short window is trusted without further evidence.
     #[must_use]
     pub fn window_for(&self, span: Span, queued: bool) -> LoadWindow {
--- a/crates/citronway-core/src/gateway/leader/mod.rs
+++ b/crates/citronway-core/src/gateway/leader/mod.rs
@@ -3,10 +3,11 @@
 //! Safety rests on four rules:
 //!
 //! - A grant is sent only for keys that the stored row assigns to the endpoint.
-//! - The row is changed only on condition that the leader's own row is unchanged, so that two
-//!   leaders never both change it.
+//! - That row is changed only on condition that the row that names the leader is unchanged, so
+//!   that two leaders never both change it.
 //! - A range is taken from its holder only after the holder has confirmed a higher fence and a
-//!   release, or after the end of every hold that any leader may have granted it.
+//!   release, after its process is known to have ended, or after the end of every hold that any
+//!   leader may have granted it.
 //! - A leader that the store has not confirmed for [`LeaderSettings::contact_limit_ms`] sends
 //!   no more grants, which bounds the holds that a former leader may have granted.
 //!
@@ -36,7 +37,8 @@
 pub use settings::{FormerLeaderLimits, LeaderSettings};
 
 /// Number of ranges for which the minimum interval between two writes of the row grows by
-/// 1 ms: 500 ranges add 62 ms.
+/// 1 ms: 500 ranges add 62 ms. A long row belongs to a large service, in which moves end all the
+/// time, and each write is sent to all instances.
 const RANGES_PER_MS: u64 = 8;
 
 /// A request to move keys to another endpoint.
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Tightens the limits on a former leader that is known to have stopped at `at`.
+    /// Tightens the limits on former leaders, which are all known to have stopped by `at`.
     pub fn former_leader_stopped(&mut self, at: Mono) {
         let left = self.cfg.stopped_former_leader_limits(at);
         if let Some(term) = &mut self.term {
@@ -162,7 +164,7 @@
             return;
         }
         // Failure: a write whose answer was lost takes effect after new moves were planned on
-        // the row before it. Written over it, they return a range to an owner that has
+        // the older row. If these are then written over it, a range returns to an owner that has
         // released it, and two endpoints hold the range.
         if version > self.version {
             self.wanted = None;
@@ -191,8 +193,8 @@
         self.version
     }
 
-    /// Whether the endpoint counts as lost, because its orders have failed for
-    /// [`LeaderSettings::lost_after_ms`].
+    /// Whether the endpoint counts as lost: two or more orders in succession have failed, the first
+    /// at least [`LeaderSettings::lost_after_ms`] ago and the last one recently.
     #[must_use]
     pub fn is_lost(&self, now: Mono, endpoint: &EndpointStart) -> bool {
         self.reach.is_lost(&self.cfg, now, endpoint)
@@ -206,8 +208,8 @@
 
     /// Starts moves, except those that do not apply to the current row.
     ///
-    /// Leaves out as many moves at the end of the list as needed to keep the row within the
-    /// size limit of the store, and returns their number.
+    /// If the row would exceed the size limit of the store, tries the first half of the list, then
+    /// a quarter and so on. Returns the number of moves left out for this.
     pub fn start_moves(&mut self, moves: &[Move], registry: &Registry) -> usize {
         if self.writing || self.wanted.is_some() || self.term.is_none() {
             return 0;
--- a/crates/citronway-core/src/gateway/leader/moves.rs
+++ b/crates/citronway-core/src/gateway/leader/moves.rs
@@ -62,8 +62,8 @@
 
 /// Splits the span off its range and starts its move.
 ///
-/// Returns false if no single range contains the span, if `to` owns it already or if the row
-/// has no room for more ranges.
+/// Returns false if no single range contains the span, if `to` is its next owner already, or its
+/// owner while it does not move, or if the row has no room for more ranges.
 pub(super) fn begin_move(row: &mut Assignment, span: Span, to: &Listing) -> bool {
     let Some(i) = row
         .ranges
@@ -276,7 +276,7 @@
                 // Failure: the holder confirms the seal, restarts under its name and loses the
                 // fence. An earlier, unanswered renewal then arrives, and it holds keys that
                 // the next owner holds by then. So a seal is sent only when no earlier grant
-                // can still arrive: what a start has received ends with it.
+                // can still arrive. Grants that a start has received end with that start.
                 if self.holds.may_arrive(now, &holder.endpoint, span) {
                     continue;
                 }
--- a/crates/citronway-core/src/gateway/leader/settings.rs
+++ b/crates/citronway-core/src/gateway/leader/settings.rs
@@ -45,7 +45,8 @@
     ///
     /// Longer than the interval between two confirmations.
     pub connect_limit_ms: u64,
-    /// Time without an answer after which an endpoint counts as lost.
+    /// Time since the first of two or more failed orders in succession after which an endpoint
+    /// counts as lost.
     pub lost_after_ms: u64,
 }
 
--- a/crates/citronway-core/src/gateway/placement.rs
+++ b/crates/citronway-core/src/gateway/placement.rs
@@ -79,7 +79,8 @@
 }
 
 /// Number of pieces for each endpoint above which small pieces are merged into the piece before
-/// them. With two for each endpoint, the row of 500 endpoints is half full.
+/// them. With two for each endpoint, the row of 500 endpoints has half of the size that the store
+/// allows.
 const PIECES_PER_ENDPOINT: usize = 2;
 
 /// Total number of pieces up to which none are merged.
@@ -439,7 +440,7 @@
         }
     }
 
-    /// Moves a part of a piece from one endpoint to another: of the hottest piece for which this
+    /// Moves load from one endpoint to another: all or a part of the hottest piece for which this
     /// helps. Returns false if there is none.
     ///
     /// `min_ratio` is the factor by which the usage of `from` must exceed the usage that `to` has
--- a/crates/citronway-core/src/gateway/registry.rs
+++ b/crates/citronway-core/src/gateway/registry.rs
@@ -113,7 +113,7 @@
         self.listing = listing;
     }
 
-    /// Next time at which its state changes without a further entry.
+    /// Next time at which it is dropped as missing or replaced by a postponed entry.
     fn next_change(&self) -> Option<Mono> {
         let postponed = self.postponed.as_ref().map(|(_, at)| *at);
         self.missing_until.into_iter().chain(postponed).min()
@@ -161,7 +161,7 @@
     /// Evacuated zones, each with the time until which requests are still sent to the owners of
     /// keys there.
     evacuated: IndexMap<ZoneName, Mono>,
-    /// Whether the store can be reached, and since when.
+    /// Whether the store can be reached, and since when after an outage.
     store: StoreState,
 }
 
@@ -245,8 +245,8 @@
         self.update_shadowed();
     }
 
-    /// Applies the removal of an entry. During and shortly after an outage of the store the entry
-    /// is kept for [`LAPSE_GRACE_MS`].
+    /// Applies the removal of an entry. During an outage of the store the entry is kept for
+    /// [`LAPSE_GRACE_MS`], and after one until [`LAPSE_GRACE_MS`] after the store's return.
     pub fn remove(&mut self, now: Mono, name: &EndpointName) {
         let grace_end = match self.store {
             StoreState::Reachable => None,
--- a/crates/citronway-core/src/gateway/report.rs
+++ b/crates/citronway-core/src/gateway/report.rs
@@ -170,7 +170,8 @@
     pub paces: Vec<EndpointPace>,
     /// Fingerprints of requests that are refused because they crash endpoints.
     pub refused: Vec<RefusedWork>,
-    /// Fingerprints of requests that were at several endpoints that crashed.
+    /// Fingerprints of requests that are suspected to crash endpoints, since one or more endpoints
+    /// that had them crashed.
     pub suspects: Vec<Fingerprint>,
     /// Addresses to which the receiving delegate forwards the totals; empty for others.
     pub members: Vec<SocketAddr>,
@@ -201,7 +202,7 @@
 /// Observations of one or more intervals, for one report.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Observations {
-    /// Use of each endpoint: the requests of the last interval and the answers of all.
+    /// Use of each endpoint: the requests of the last interval and the answers of all intervals.
     pub endpoints: Vec<EndpointUse>,
     /// Keys of the requests.
     pub keys: Vec<KeySamples>,
