--- a/crates/citronway-core/src/dispatch/arriving.rs
+++ b/crates/citronway-core/src/dispatch/arriving.rs
@@ -1,4 +1,4 @@
-//! Requests that come in, and callers that go.
+//! Handling of submitted requests and of cancellations by callers.
 
 use super::admission::{Arrival, admit};
 use super::duplicates::Verdict;
@@ -7,7 +7,7 @@
 use super::health::Reach;
 use super::machine::Dispatcher;
 use super::message::{DispatchAction, ShardRef, Turn};
-use super::queue::Waiting;
+use super::queue::QueuedRequest;
 use super::waiters::Waiter;
 use crate::ids::{RequestId, ShardId};
 use crate::node::events::Ticket;
@@ -15,8 +15,8 @@
 use crate::request::{Repeat, Request};
 use crate::time::Wall;
 
-/// Least time to come back after, in milliseconds.
-const LEAST_RETRY_MS: u64 = 10;
+/// Shortest retry-after time, in milliseconds.
+const MIN_RETRY_MS: u64 = 10;
 
 impl Dispatcher {
     pub(super) fn on_submit(
@@ -31,8 +31,8 @@
             shard,
         };
         let fingerprint = Fingerprint::of(&request);
-        // Whether the id is known goes before every reason to refuse: a repeat
-        // of a request that is running would be told `not run` otherwise.
+        // The id is looked up before any check that may refuse the request:
+        // otherwise a repeat of a running request would be answered `not run`.
         let not_before = match self.verdict(&request, fingerprint, &at, turn) {
             Verdict::New { not_before } => not_before,
             Verdict::Pending => return self.wait_for(origin, &request),
@@ -45,7 +45,7 @@
                 return self.refuse(origin, NotRunReason::Overloaded, retry_ms);
             }
         };
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             origin,
             request,
             at,
@@ -57,8 +57,9 @@
         self.enqueue(waiting, fingerprint);
     }
 
-    /// The caller of a request has gone. Work that may be repeated is stopped;
-    /// other work runs on, so that its outcome is known when it is asked for.
+    /// Handles a caller that has gone. A queued request is dropped unless
+    /// duplicates wait for it. A running idempotent order is cancelled; a
+    /// non-idempotent one runs on, so that its outcome is known to a repeat.
     pub(super) fn on_cancel(&mut self, origin: Ticket) {
         if let Some(id) = self.queue.id_of(origin) {
             if self.waiters.len_of(id) > 0 {
@@ -69,7 +70,7 @@
             }
             return;
         }
-        let Some(ticket) = self.slots.of_origin(origin) else {
+        let Some(ticket) = self.slots.running_by_origin(origin) else {
             return;
         };
         let order = self.slots.get_mut(ticket);
@@ -78,8 +79,8 @@
         }
     }
 
-    /// When there will be room again, or when what keeps the work away may have
-    /// passed, in milliseconds.
+    /// Retry-after time for a refusal, in milliseconds: the time until there is
+    /// room, or until the reason may no longer hold.
     pub(super) fn retry_after_ms(&self, reason: NotRunReason) -> u64 {
         match reason {
             NotRunReason::Draining
@@ -109,16 +110,18 @@
             .check(request.id, fingerprint, floor, turn.now.wall)
     }
 
-    fn admit(&self, waiting: &Waiting, turn: Turn) -> Result<(), NotRun> {
-        if let Some(reason) = self.closed(&waiting.at, turn) {
+    fn admit(&self, waiting: &QueuedRequest, turn: Turn) -> Result<(), NotRun> {
+        if let Some(reason) = self.refusal_reason(&waiting.at, turn) {
             return Err(NotRun::new(reason, self.retry_after_ms(reason)));
         }
         let request = &waiting.request;
         let class = &request.class;
         let arrival = Arrival {
             deadline: request.deadline,
-            ahead: self.queue.ahead_of(class, request.deadline, &self.times),
-            service_ms: self.times.ms(class),
+            ahead: self
+                .queue
+                .ahead_of(class, request.deadline, &self.service_times),
+            service_ms: self.service_times.ms(class),
             running_ms: self.running_ms() / u64::from(self.slots.used().max(1)),
             running: self.slots.used(),
             slots: self.limit.slots(),
@@ -131,21 +134,21 @@
         admit(&arrival, turn.now.wall)
     }
 
-    /// Service time of the orders that hold a slot, in milliseconds.
+    /// Sum of the mean service times of the orders in slots, in milliseconds.
     fn running_ms(&self) -> u64 {
         let classes = self.slots.classes();
-        classes.map(|class| self.times.ms(class)).sum()
+        classes.map(|class| self.service_times.ms(class)).sum()
     }
 
-    /// Time until all that waits and runs is done, in milliseconds.
+    /// Estimated time until all queued and running work is done, in milliseconds.
     fn drain_ms(&self) -> u64 {
-        let work_ms = self.queue.work_ms(&self.times) + self.running_ms();
+        let work_ms = self.queue.work_ms(&self.service_times) + self.running_ms();
         let ms = work_ms / u64::from(self.limit.slots());
-        ms.max(LEAST_RETRY_MS)
+        ms.max(MIN_RETRY_MS)
     }
 
-    /// Why no new work is taken for a shard at all.
-    fn closed(&self, at: &ShardRef, turn: Turn) -> Option<NotRunReason> {
+    /// Why no new request for the shard is accepted; `None` if it is open.
+    fn refusal_reason(&self, at: &ShardRef, turn: Turn) -> Option<NotRunReason> {
         if self.retired.is_some() {
             return self.retired;
         }
@@ -170,18 +173,18 @@
         }
     }
 
-    fn enqueue(&mut self, waiting: Waiting, fingerprint: Fingerprint) {
+    fn enqueue(&mut self, waiting: QueuedRequest, fingerprint: Fingerprint) {
         if waiting.request.repeat == Repeat::NonIdempotent {
-            self.duplicates.take(waiting.request.id, fingerprint);
+            self.duplicates.register(waiting.request.id, fingerprint);
         }
         self.queue.push(waiting);
     }
 
-    /// Lets a duplicate wait for the answer of the request it repeats.
+    /// Adds a duplicate to the waiters for the answer of the request it repeats.
     fn wait_for(&mut self, origin: Ticket, request: &Request) {
         let id = request.id;
         if self.waiters.len_of(id) >= self.cfg.max_waiters {
-            return self.reply(origin, running_elsewhere());
+            return self.reply(origin, duplicate_timeout());
         }
         let deadline = request.deadline;
         self.waiters.add(id, Waiter { origin, deadline });
@@ -200,9 +203,9 @@
     }
 }
 
-/// Told to a duplicate that does not get to know the outcome: the request it
-/// repeats may run yet, so `not run` would be wrong.
-pub(super) const fn running_elsewhere() -> Outcome {
+/// Outcome for a duplicate that stops waiting before the outcome is known. The
+/// request it repeats may still run, so `not run` would be wrong.
+pub(super) const fn duplicate_timeout() -> Outcome {
     Outcome::MayHaveRun(MayHaveRun {
         reason: MayHaveRunReason::Timeout,
         retry_after_ms: 0,
--- a/crates/citronway-core/src/dispatch/granting.rs
+++ b/crates/citronway-core/src/dispatch/granting.rs
@@ -1,4 +1,4 @@
-//! Grants, revocations and probes, and what comes back for them.
+//! Sending of grants, revocations and probes, and handling of their answers.
 
 use super::health::Reach;
 use super::machine::Dispatcher;
@@ -11,7 +11,8 @@
     pub(super) fn on_grant_done(&mut self, ticket: Ticket, report: &ProbeReport, turn: Turn) {
         let before = self.health.reach();
         let was_cold = self.health.cold();
-        self.health.probed(ticket, report, &self.cfg, turn.now.mono);
+        self.health
+            .on_probe_done(ticket, report, &self.cfg, turn.now.mono);
         match *report {
             ProbeReport::Failed => self.on_probe_failed(before, turn),
             ProbeReport::Answered { stale_epoch, .. } => {
@@ -19,33 +20,34 @@
                     self.next_renewal = turn.now.mono;
                 }
                 if self.health.cold() && !was_cold {
-                    self.limit.cold();
+                    self.limit.on_cold_start();
                 }
                 if before == Reach::Unreachable {
-                    self.on_back();
+                    self.on_reachable_again();
                 }
                 self.on_grant_answered(ticket, stale_epoch, turn);
             }
         }
-        self.count_foreign();
+        self.update_predecessor_orders();
     }
 
-    /// Moves shards on their way out, as far as silence allows.
+    /// Advances moving shards towards their release, as far as live grants and
+    /// running orders allow.
     pub(super) fn release_shards(&mut self, turn: Turn) {
         let bounds = self.bounds();
-        for part in self.grants.stop_moving(turn.now.wall, bounds) {
-            self.give_part_up(&part);
+        for range in self.grants.stop_moving(turn.now.wall, bounds) {
+            self.give_up_range(&range);
         }
         let slots = &self.slots;
         let released = self
             .grants
-            .pass_time(turn.now.wall, bounds, |part| slots.any_in(part));
+            .pass_time(turn.now.wall, bounds, |range| slots.has_order_in(range));
         if released {
             self.next_report = turn.now.mono;
         }
     }
 
-    /// Sends grants and revocations that are due.
+    /// Sends the grants and revocations that are due.
     pub(super) fn send_control(&mut self, turn: Turn) {
         let due = turn.now.mono >= self.next_renewal;
         if due {
@@ -60,11 +62,11 @@
         }
     }
 
-    /// An endpoint that has stopped answering is probed without shards: each
-    /// further grant would put off the moment from which it certainly holds
-    /// nothing, and with it the recovery of its keys.
+    /// Whether shards may be granted. An endpoint that has stopped answering is
+    /// probed without shards: each further grant would delay the time at which
+    /// all its grants have ended, and with it the recovery of its keys.
     const fn may_grant(&self) -> bool {
-        !self.quiet && !self.health.stale() && !self.health.is_silent()
+        !self.quiet && !self.health.stale() && !self.health.has_failed_probe()
     }
 
     fn send_grant(&mut self, may_grant: bool, turn: Turn) {
@@ -75,8 +77,8 @@
         };
         let end = turn.now.wall.plus(self.cfg.bounded_grant_ms());
         let ticket = self.ticket();
-        self.grants.granting(ticket, end, &shards);
-        let grant = self.grant(end, shards);
+        self.grants.on_grant_sent(ticket, end, &shards);
+        let grant = self.grant_message(end, shards);
         self.out.push(DispatchAction::Grant { ticket, grant });
     }
 
@@ -86,12 +88,12 @@
             return;
         }
         let ticket = self.ticket();
-        self.grants.revoking(ticket, &shards);
-        let grant = self.grant(Wall(0), shards);
+        self.grants.on_revocation_sent(ticket, &shards);
+        let grant = self.grant_message(Wall(0), shards);
         self.out.push(DispatchAction::Revoke { ticket, grant });
     }
 
-    fn grant(&self, end: Wall, shards: Vec<GrantedShard>) -> Grant {
+    fn grant_message(&self, end: Wall, shards: Vec<GrantedShard>) -> Grant {
         Grant {
             dispatch_epoch: self.epoch,
             dispatcher: self.session.clone(),
@@ -102,12 +104,15 @@
 
     fn on_grant_answered(&mut self, ticket: Ticket, stale_epoch: bool, turn: Turn) {
         if stale_epoch {
-            self.grants.refused(ticket);
+            self.grants.on_stale_epoch(ticket);
             self.out.push(DispatchAction::Superseded);
             self.give_up_all(NotRunReason::NotDispatcher);
             return;
         }
-        if self.grants.confirmed(ticket, self.bounds(), turn.now.wall) {
+        if self
+            .grants
+            .on_confirmed(ticket, self.bounds(), turn.now.wall)
+        {
             self.next_report = turn.now.mono;
         }
         if self.is_draining() {
@@ -123,20 +128,20 @@
         }
     }
 
-    fn on_back(&mut self) {
+    fn on_reachable_again(&mut self) {
         self.quiet = false;
-        self.limit.cold();
+        self.limit.on_cold_start();
         self.out.push(DispatchAction::EndpointBack);
     }
 
-    /// Orders that run at the endpoint beside those sent from here. It is
-    /// counted down only, so that a count that lags does not take slots away
-    /// again for orders of this dispatcher.
-    fn count_foreign(&mut self) {
+    /// Updates the number of predecessor's orders from the endpoint's report. It
+    /// only decreases, so that a report that lags behind does not count orders of
+    /// this dispatcher as the predecessor's.
+    fn update_predecessor_orders(&mut self) {
         let Some(running) = self.health.reported_running() else {
             return;
         };
         let others = running.saturating_sub(self.slots.used());
-        self.foreign = self.foreign.min(others);
+        self.predecessor_orders = self.predecessor_orders.min(others);
     }
 }
--- a/crates/citronway/src/gateway/control/cluster/evacuations.rs
+++ b/crates/citronway/src/gateway/control/cluster/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuations of availability zones, as rows of the operator's table say them.
+//! Evacuations of availability zones, as stored in the operator's table.
 
 use std::sync::Arc;
 
@@ -12,14 +12,15 @@
 use super::Cluster;
 
 impl Cluster {
-    /// Takes rows of the operator's table; `learnt` is when an evacuation among them was, if it
-    /// began after the table was first read, `whole` the version of the store if these are all.
-    pub(super) fn evacuation_rows(
+    /// Applies rows of the operator's table. `learned_at` is the start of evacuations among
+    /// them, or `None` if they began before the table was first read. `list_version` is the
+    /// version of the store if `rows` are all rows of the table.
+    pub(super) fn apply_evacuation_rows(
         &mut self,
         now: Mono,
-        learnt: Option<Mono>,
+        learned_at: Option<Mono>,
         rows: &[Row],
-        whole: Option<Version>,
+        list_version: Option<Version>,
     ) {
         let zones = rows.iter().filter_map(|row| {
             let zone = store::evacuated_zone(&row.key)?;
@@ -28,12 +29,12 @@
         let zones: Vec<_> = zones.collect();
         let mut changes = Vec::new();
         for (zone, row) in &zones {
-            let Some(state) = self.evacuation(zone, row, learnt) else {
+            let Some(state) = self.evacuation_state(zone, row, learned_at) else {
                 continue;
             };
             changes.extend(self.evacuations.apply_row(zone, row.version, state));
         }
-        if let Some(version) = whole {
+        if let Some(version) = list_version {
             let listed = zones.into_iter().map(|(zone, _)| zone).collect();
             changes.extend(self.evacuations.apply_listing(&listed, version));
         }
@@ -41,7 +42,7 @@
             return;
         }
         for change in &changes {
-            self.log_zone(change);
+            self.log_zone_change(change);
         }
         let zones = self.evacuations.evacuated().map(|(zone, since)| {
             let until = evacuation::owned_work_until(since, self.evacuation_ms);
@@ -51,42 +52,43 @@
         Arc::make_mut(&mut self.registry).set_evacuated(now, zones);
     }
 
-    /// What a row says of a zone; none if it cannot be read, and what is known holds on.
-    fn evacuation(
+    /// State of a zone by its row; `None` if the row is malformed, and the known state
+    /// stays.
+    fn evacuation_state(
         &mut self,
         zone: &ZoneName,
         row: &Row,
-        learnt: Option<Mono>,
+        learned_at: Option<Mono>,
     ) -> Option<ZoneState> {
         let Some(value) = &row.value else {
-            self.unusable.settled(Source::Configuration, &row.key);
+            self.unusable.clear(Source::Configuration, &row.key);
             return Some(ZoneState::Restored);
         };
         if let Err(e) = store::check_evacuation(zone, value) {
             self.unusable
-                .refused(Source::Configuration, &row.key, e.to_string());
+                .record_row(Source::Configuration, &row.key, e.to_string());
             return None;
         }
-        self.unusable.settled(Source::Configuration, &row.key);
-        Some(ZoneState::Evacuated { since: learnt })
+        self.unusable.clear(Source::Configuration, &row.key);
+        Some(ZoneState::Evacuated { since: learned_at })
     }
 
-    /// Evacuated zones, and ranges of keys whose owners are there.
-    pub(in super::super) fn left_in_evacuated_zones(&self) -> (usize, usize) {
+    /// Number of evacuated zones, and of ranges of keys whose owners are in them.
+    pub(in super::super) fn count_evacuated(&self) -> (usize, usize) {
         let zones = self.evacuations.evacuated().count();
         if zones == 0 {
             return (0, 0);
         }
         let rows = self.owners.values();
         let holders = rows.flat_map(|owners| &owners.assignment.ranges);
-        let left = holders.filter(|range| {
+        let ranges = holders.filter(|range| {
             let known = self.registry.get(&range.holder.endpoint);
             known.is_some_and(citronway_core::gateway::registry::ListedEndpoint::is_evacuated)
         });
-        (zones, left.count())
+        (zones, ranges.count())
     }
 
-    fn log_zone(&self, change: &ZoneChange) {
+    fn log_zone_change(&self, change: &ZoneChange) {
         let ZoneChange {
             zone,
             state,
@@ -101,7 +103,7 @@
                 let just_now = since.is_some();
                 log::info!(zone, version, endpoints, just_now; "zone evacuated");
             }
-            ZoneState::Restored => log::info!(zone, version, endpoints; "zone taken back"),
+            ZoneState::Restored => log::info!(zone, version, endpoints; "zone restored"),
         }
     }
 }
--- a/crates/citronway/src/gateway/control/cold.rs
+++ b/crates/citronway/src/gateway/control/cold.rs
@@ -1,4 +1,4 @@
-//! Sends to cold endpoints: asked of the leader, and granted as the leader.
+//! Sends to cold endpoints: requested from the leader, and granted as the leader.
 
 use std::net::SocketAddr;
 
@@ -14,27 +14,27 @@
 use crate::clock;
 use crate::gateway::traffic::ColdQuery;
 
-/// Time after which an answer of the leader is of no use, in milliseconds: longer than the
-/// traffic waits for it.
-const FORGOTTEN_MS: u64 = 500;
+/// Time after which a reply of the leader is of no use, in milliseconds: longer than the
+/// traffic thread waits for it.
+const REPLY_TIMEOUT_MS: u64 = 500;
 
 #[derive(Debug)]
-struct Asked {
+struct PendingRequest {
     reply: oneshot::Sender<ColdGrant>,
     at: Mono,
 }
 
-/// What this instance knows of sends to cold endpoints.
+/// Sends to cold endpoints that this instance requested or granted.
 #[derive(Debug, Default)]
-pub(super) struct ColdDuty {
-    /// Those of all instances, while this one leads.
+pub(super) struct ColdSendState {
+    /// Sends of all instances, granted while this instance leads.
     granted: ColdSendLimiter,
-    /// Term in which it granted them.
+    /// Term in which `granted` were granted.
     term: u64,
-    asked: IndexMap<u64, Asked>,
+    pending: IndexMap<u64, PendingRequest>,
 }
 
-impl ColdDuty {
+impl ColdSendState {
     /// Sends that this instance grants as the leader of a term.
     fn granted_in(&mut self, now: Mono, term: u64) -> &mut ColdSendLimiter {
         if self.term != term {
@@ -46,78 +46,80 @@
 }
 
 impl Control {
-    /// Takes what the traffic asks about a cold endpoint.
-    pub(super) fn cold_asked(&mut self, socket: &UdpSocket, ask: ColdQuery) {
+    /// Handles a request of the traffic thread for a send to a cold endpoint.
+    pub(super) fn on_cold_query(&mut self, socket: &UdpSocket, query: ColdQuery) {
         let now = clock::mono();
-        if self.duty.in_office() {
-            let term = self.duty.term();
-            let part = self.duty.cold_part(now);
+        if self.leadership.is_leader() {
+            let term = self.leadership.term();
+            let share = self.leadership.cold_share(now);
             let granted = self.cold.granted_in(now, term);
-            let grant = granted.request_with_share(now, &ask.req, part);
-            // Its caller may have left.
-            let _ = ask.reply.send(grant);
+            let grant = granted.request_with_share(now, &query.req, share);
+            // The caller may have left.
+            let _ = query.reply.send(grant);
             return;
         }
-        let Some(leader) = self.answering_leader(now) else {
-            // Dropped without an answer: the endpoint gets nothing.
+        let Some(leader) = self.reachable_leader(now) else {
+            // The request is dropped without a reply, and nothing is sent to the endpoint.
             return;
         };
         self.cold
-            .asked
-            .retain(|_, asked| now.since(asked.at) < FORGOTTEN_MS);
+            .pending
+            .retain(|_, pending| now.since(pending.at) < REPLY_TIMEOUT_MS);
         let asked = ColdAsked {
             session: self.me.id,
-            number: ask.number,
-            req: ask.req,
+            number: query.number,
+            req: query.req,
         };
-        self.send_cold(socket, &Datagram::ColdRequest(asked), leader);
-        let reply = ask.reply;
-        self.cold.asked.insert(ask.number, Asked { reply, at: now });
+        self.send_cold_message(socket, &Datagram::ColdRequest(asked), leader);
+        let reply = query.reply;
+        self.cold
+            .pending
+            .insert(query.number, PendingRequest { reply, at: now });
     }
 
-    /// As the leader, counts from the first moment in office what its predecessor granted.
+    /// As the leader, counts sends that the former leader granted from the moment it leads.
     pub(super) fn step_cold(&mut self, now: Mono) {
-        if self.duty.in_office() {
-            self.cold.granted_in(now, self.duty.term());
+        if self.leadership.is_leader() {
+            self.cold.granted_in(now, self.leadership.term());
         }
     }
 
-    /// Takes a request of another instance.
-    pub(super) fn cold_requested(
+    /// Handles a request of another instance.
+    pub(super) fn on_cold_request(
         &mut self,
         socket: &UdpSocket,
         asked: &ColdAsked,
         from: SocketAddr,
     ) {
-        if !self.duty.in_office() {
+        if !self.leadership.is_leader() {
             return;
         }
         let now = clock::mono();
-        let term = self.duty.term();
-        let part = self.duty.cold_part(now);
+        let term = self.leadership.term();
+        let share = self.leadership.cold_share(now);
         let granted = self.cold.granted_in(now, term);
-        let grant = granted.request_with_share(now, &asked.req, part);
+        let grant = granted.request_with_share(now, &asked.req, share);
         let reply = ColdReply {
             session: asked.session,
             number: asked.number,
             grant,
         };
-        self.send_cold(socket, &Datagram::ColdReply(reply), from);
+        self.send_cold_message(socket, &Datagram::ColdReply(reply), from);
     }
 
-    /// Takes the answer of the leader.
-    pub(super) fn cold_replied(&mut self, reply: &ColdReply) {
+    /// Handles the leader's reply to a request of this instance.
+    pub(super) fn on_cold_reply(&mut self, reply: &ColdReply) {
         if reply.session != self.me.id {
             return;
         }
-        let Some(asked) = self.cold.asked.swap_remove(&reply.number) else {
+        let Some(pending) = self.cold.pending.swap_remove(&reply.number) else {
             return;
         };
-        // Its caller may have left.
-        let _ = asked.reply.send(reply.grant);
+        // The caller may have left.
+        let _ = pending.reply.send(reply.grant);
     }
 
-    fn send_cold(&self, socket: &UdpSocket, message: &Datagram, to: SocketAddr) {
+    fn send_cold_message(&self, socket: &UdpSocket, message: &Datagram, to: SocketAddr) {
         self.send(socket, &datagram::encode(message), to);
     }
 }
--- a/crates/citronway/src/gateway/control/entries.rs
+++ b/crates/citronway/src/gateway/control/entries.rs
@@ -1,7 +1,7 @@
 //! Endpoints' entries, as they come from the store.
 //!
-//! One rule for all of them: an entry that cannot be used names no endpoint, also under
-//! the name of one that is known, and all others hold.
+//! An entry that can't be used lists no endpoint, also if an endpoint of its name was known
+//! before. All other entries stay in force.
 
 use std::sync::Arc;
 
@@ -13,48 +13,54 @@
 use super::cluster::Cluster;
 use super::unusable::Source;
 
-/// What an entry says.
-enum Said {
-    Listed(Listing),
-    Gone,
-    /// It cannot be used, and why.
+/// Content of an entry.
+enum EntryState {
+    Registration(Listing),
+    Removed,
+    /// The entry can't be used, with the cause.
     Unusable(String),
 }
 
 impl Cluster {
-    /// Takes entries; `whole` is the version of the store if these are all there are.
-    pub(super) fn endpoint_rows(&mut self, now: Mono, rows: &[Row], whole: Option<Version>) {
-        if let Some(version) = whole {
-            self.drop_missing(now, rows, version);
+    /// Applies entries; `list_version` is the version of the store if `rows` are all entries.
+    pub(super) fn apply_endpoint_rows(
+        &mut self,
+        now: Mono,
+        rows: &[Row],
+        list_version: Option<Version>,
+    ) {
+        if let Some(version) = list_version {
+            self.remove_unlisted(now, rows, version);
         }
         for row in rows {
-            // Failure: relayed rows overtake each other, and an endpoint that leaves
-            // seems ready again. Versions of a row only grow.
+            // Failure: relayed rows overtake each other, and a draining endpoint seems
+            // ready again. Versions of a row only grow.
             let newest = self.entries.entry(row.key.clone()).or_default();
             if *newest > row.version {
                 continue;
             }
             *newest = row.version;
-            let said = self.read_entry(row);
-            // Load: 3,000 lines of each of 300 instances at a start, on a tenth of a core.
-            let level = if whole.is_some() {
+            let state = self.read_entry(row);
+            // Load: at a start, each of 300 instances logged 3,000 lines, on a tenth of a
+            // core.
+            let level = if list_version.is_some() {
                 log::Level::Debug
             } else {
                 log::Level::Info
             };
-            self.entry(now, &row.key, said, level);
+            self.apply_entry(now, &row.key, state, level);
         }
-        if let Some(version) = whole {
+        if let Some(version) = list_version {
             let endpoints = self.registry.iter().count();
-            log::info!(endpoints, version = version.0; "all endpoints read");
+            log::info!(endpoints, version = version.0; "all endpoint entries read");
         }
     }
 
-    /// Drops endpoints whose entries are not among all that there were at `version`.
-    fn drop_missing(&mut self, now: Mono, rows: &[Row], version: Version) {
+    /// Removes endpoints whose entries are not in `rows`, all entries at `version`.
+    fn remove_unlisted(&mut self, now: Mono, rows: &[Row], version: Version) {
         let registry = Arc::make_mut(&mut self.registry);
         for name in registry.names() {
-            // One that was relayed since the rows were read is not among them.
+            // An entry that was relayed since the rows were read is not in them.
             let later = self.entries.get(name.as_str());
             let is_later = later.is_some_and(|entry| *entry > version);
             if !is_later && !rows.iter().any(|row| row.key == name.as_str()) {
@@ -64,43 +70,44 @@
         }
     }
 
-    fn read_entry(&self, row: &Row) -> Said {
+    fn read_entry(&self, row: &Row) -> EntryState {
         let Some(value) = &row.value else {
-            return Said::Gone;
+            return EntryState::Removed;
         };
         match citronway_platform::endpoints::decode(&row.key, value) {
-            // Failure: an entry names this instance, which would send requests to itself.
-            Ok(listing) if self.own_addresses.contains(&listing.address) => Said::Unusable(
+            // Failure: an entry has an address of this instance, which would send requests
+            // to itself.
+            Ok(listing) if self.own_addresses.contains(&listing.address) => EntryState::Unusable(
                 format!("{} is an address of this instance", listing.address),
             ),
-            Ok(listing) => Said::Listed(listing),
-            Err(e) => Said::Unusable(e.to_string()),
+            Ok(listing) => EntryState::Registration(listing),
+            Err(e) => EntryState::Unusable(e.to_string()),
         }
     }
 
-    fn entry(&mut self, now: Mono, key: &str, said: Said, level: log::Level) {
+    fn apply_entry(&mut self, now: Mono, key: &str, state: EntryState, level: log::Level) {
         let registry = Arc::make_mut(&mut self.registry);
         let name = EndpointName::new(key);
-        match said {
-            Said::Listed(listing) => {
-                log_news(registry, &listing, level);
+        match state {
+            EntryState::Registration(listing) => {
+                log_listing_change(registry, &listing, level);
                 registry.put(now, listing);
-                self.unusable.settled(Source::Entry, key);
+                self.unusable.clear(Source::Entry, key);
             }
-            Said::Gone => {
+            EntryState::Removed => {
                 log::info!(endpoint = key; "endpoint no longer listed");
                 registry.remove(now, &name);
-                self.unusable.settled(Source::Entry, key);
+                self.unusable.clear(Source::Entry, key);
             }
-            Said::Unusable(cause) => {
+            EntryState::Unusable(cause) => {
                 registry.discard(&name);
-                self.unusable.refused(Source::Entry, key, cause);
+                self.unusable.record_row(Source::Entry, key, cause);
             }
         }
     }
 }
 
-fn log_news(registry: &Registry, listing: &Listing, level: log::Level) {
+fn log_listing_change(registry: &Registry, listing: &Listing, level: log::Level) {
     let known = registry.get(&listing.start);
     if known.is_some_and(|known| known.listing.draining == listing.draining) {
         return;
--- a/crates/citronway/src/gateway/control/mod.rs
+++ b/crates/citronway/src/gateway/control/mod.rs
@@ -1,4 +1,5 @@
-//! Follows the store, tells the other instances what is in flight and keeps keys.
+//! The control task: polls the store, shares load and rows with the other instances, and as
+//! the leader grants keys to endpoints.
 
 mod cluster;
 mod cold;
@@ -40,14 +41,14 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-use cluster::{Cluster, StoreSight};
-use cold::ColdDuty;
+use cluster::{Cluster, StoreStatus};
+use cold::ColdSendState;
 use copies::CopyError;
-use duty::Duty;
-use first::Listed;
+use duty::Leadership;
+use first::Registration;
 use orders::OrderClient;
-use store::{Follow, News, Store, StoreError};
-use trials::TrialDuty;
+use store::{PollControl, Store, StoreError, TableUpdate};
+use trials::TrialState;
 
 pub(super) use unusable::Source;
 
@@ -57,56 +58,57 @@
 use crate::gateway::run;
 use crate::gateway::traffic::{ColdQuery, Stop, TrafficReport, TrialEvent};
 
-/// Longest time between two looks at what is due, of a leader and of all others.
+/// Longest time between two runs of [`Control::run_due`], on the leader and on all other
+/// instances.
 const LEADER_TICK: Duration = Duration::from_millis(25);
 const TICK: Duration = Duration::from_millis(100);
 
-/// Ranges of all services that make the shortest time between two looks a millisecond
-/// longer.
+/// Number of assigned ranges that adds a millisecond to the shortest time between two runs
+/// of [`Control::run_due`].
 ///
-/// Load: a leader of 720 endpoints hears 1,000 answers and reports a second. A look at all
-/// ranges after each of them took 0.1 of a core; at most 180 a second take 0.02.
-const RANGES_A_MS: usize = 150;
+/// Load: a leader of 720 endpoints gets 1,000 answers and reports a second. Going through
+/// all ranges after each of them took 0.1 of a core; at most 180 times a second takes 0.02.
+const RANGES_PER_MS: usize = 150;
 
-/// Places in the ring of events of this thread's own tasks.
-const EVENTS: usize = 1_024;
+/// Capacity of the channel of events from tasks on this thread.
+const EVENT_CAPACITY: usize = 1_024;
 
-/// Something that a task of this thread has to tell.
+/// A result that a task on this thread reports to the control loop.
 #[derive(Debug)]
 enum Event {
-    /// News of a table; the call was sent at `asked`.
+    /// The store answered a poll of a table, or failed to; the poll was sent at `sent_at`.
     Store {
         table: Table,
-        news: News,
-        asked: Mono,
+        update: TableUpdate,
+        sent_at: Mono,
     },
-    /// An order was carried out or not.
-    Ordered { order: Order, result: OrderResult },
+    /// An order was carried out, or failed.
+    OrderDone { order: Order, result: OrderResult },
     /// A write of an assignment has ended.
-    Wrote {
+    WriteDone {
         service: ServiceName,
         result: WriteResult,
     },
-    /// A claim has ended; the row that stands comes by the feed.
-    Claimed,
+    /// A claim has ended. The row that is stored comes by the next poll.
+    ClaimDone,
     /// A write of the row about crashes has ended.
     CrashesWritten { done: bool },
-    /// The row of this instance stands.
+    /// The row of this instance is written.
     Registered,
-    /// Another instance asks for the rows of a table after a version.
-    CopyAsked {
+    /// Another instance requests the rows of a table that are newer than a version.
+    CopyRequested {
         table: Table,
         after: Version,
         reply: oneshot::Sender<Vec<u8>>,
     },
-    /// An instance that was asked for a table has answered or not.
-    Copied {
+    /// A request to another instance for a copy of a table has ended.
+    CopyDone {
         table: Table,
         copy: Result<Relay, CopyError>,
     },
 }
 
-/// Signals that an instance listens for.
+/// Process signals that an instance handles.
 #[derive(Debug)]
 pub(super) struct Signals {
     terminate: Signal,
@@ -114,10 +116,11 @@
 }
 
 impl Signals {
-    /// Begins to listen, on the present runtime.
+    /// Registers the handlers; must be called within a Tokio runtime.
     ///
-    /// Failure guarded against: a signal comes when callers are taken already and ends the
-    /// process, and their connections with it. So this comes before the traffic starts.
+    /// Failure guarded against: a signal that comes after callers were accepted, but before
+    /// it is handled, ends the process and breaks their connections. So handlers are
+    /// registered before the traffic starts.
     pub(super) fn listen() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -126,24 +129,24 @@
     }
 }
 
-/// What joins the control duty to the traffic and to the process.
+/// Channels between the control task, the traffic thread and the process.
 #[derive(Debug)]
 pub(super) struct Channels {
-    /// What the traffic decides by.
+    /// The view by which the traffic thread decides.
     pub view: watch::Sender<View>,
-    /// What it saw.
+    /// Load that the traffic thread observed.
     pub seen: mpsc::Receiver<TrafficReport>,
-    /// What it asks about trials of work under suspicion.
+    /// Requests of the traffic thread about trials of suspect work.
     pub trials: mpsc::Receiver<TrialEvent>,
-    /// What it asks about cold endpoints.
+    /// Requests of the traffic thread about cold endpoints.
     pub cold: mpsc::Receiver<ColdQuery>,
-    /// Tells it to stop.
+    /// Stops the traffic thread.
     pub stop: watch::Sender<Stop>,
     /// Signals to this process.
     pub signals: Signals,
 }
 
-/// The control duty of one instance.
+/// The control task of one instance.
 #[derive(Debug)]
 pub(super) struct Control {
     cfg: InstanceSettings,
@@ -154,37 +157,38 @@
     view: watch::Sender<View>,
     seen: mpsc::Receiver<TrafficReport>,
     trial_events: mpsc::Receiver<TrialEvent>,
-    trials: TrialDuty,
-    cold_asks: mpsc::Receiver<ColdQuery>,
-    cold: ColdDuty,
+    trials: TrialState,
+    cold_queries: mpsc::Receiver<ColdQuery>,
+    cold: ColdSendState,
     stop: watch::Sender<Stop>,
     signals: Signals,
     cluster: Cluster,
-    duty: Duty,
+    leadership: Leadership,
     orders: OrderClient,
-    reports: u64,
-    /// What was seen since the last report.
+    report_number: u64,
+    /// Load that was observed since the last report.
     unreported: report::Observations,
-    /// What members reported since this delegate's last report.
+    /// Load that members reported since the last report of this delegate.
     gathered: GatheredReports,
-    place: TreePosition,
+    tree_position: TreePosition,
     tree: Tree,
-    /// To whom this leader told its sums last, and when.
+    /// The instances to which this leader last sent totals, and when.
     branches: Vec<Branch>,
-    told_totals: Mono,
-    /// Who claims first when this leader falls silent, and since when they are named.
+    totals_sent_at: Mono,
+    /// The instances that claim first when this leader falls silent, and when they were
+    /// chosen.
     standbys: (Vec<InstanceName>, Mono),
-    follows: [(Table, Arc<Follow>); 3],
+    polls: [(Table, Arc<PollControl>); 3],
     started: Mono,
     stopping: bool,
-    /// It was the leader at the last look.
-    kept: bool,
-    /// When a leader last passed rows on.
-    told_at: Mono,
-    /// Tables that another instance was asked for.
-    copying: Vec<Table>,
+    /// This instance was the leader at the last run of [`Control::update_polling`].
+    was_leader: bool,
+    /// When a leader was last known to relay rows.
+    relays_heard_at: Mono,
+    /// Tables of which a copy was requested and has not come yet.
+    pending_copies: Vec<Table>,
     /// Whether the store lists this instance.
-    listed: Listed,
+    registration: Registration,
 }
 
 impl Control {
@@ -194,12 +198,12 @@
         settings: PathBuf,
         ready: Ready,
         metrics: Metrics,
-        ends: Channels,
+        channels: Channels,
     ) -> Self {
         let started = clock::mono();
         Self {
             cluster: Cluster::new(&cfg),
-            duty: Duty::new(
+            leadership: Leadership::new(
                 me.clone(),
                 cfg.strength,
                 started.plus(first::register_after_ms(&cfg)),
@@ -209,34 +213,34 @@
             settings,
             ready,
             metrics,
-            view: ends.view,
-            seen: ends.seen,
-            trial_events: ends.trials,
-            trials: TrialDuty::default(),
-            cold_asks: ends.cold,
-            cold: ColdDuty::default(),
-            stop: ends.stop,
-            signals: ends.signals,
+            view: channels.view,
+            seen: channels.seen,
+            trial_events: channels.trials,
+            trials: TrialState::default(),
+            cold_queries: channels.cold,
+            cold: ColdSendState::default(),
+            stop: channels.stop,
+            signals: channels.signals,
             orders: OrderClient::default(),
-            reports: 0,
+            report_number: 0,
             unreported: report::Observations::default(),
             gathered: GatheredReports::default(),
-            place: TreePosition::default(),
+            tree_position: TreePosition::default(),
             tree: Tree::default(),
             branches: Vec::new(),
-            told_totals: Mono::default(),
+            totals_sent_at: Mono::default(),
             standbys: (Vec::new(), Mono::default()),
-            follows: Table::ALL.map(|table| (table, Follow::new())),
+            polls: Table::ALL.map(|table| (table, PollControl::new())),
             started,
             stopping: false,
-            kept: false,
-            told_at: Mono::default(),
-            copying: Vec::new(),
-            listed: Listed::NotYet,
+            was_leader: false,
+            relays_heard_at: Mono::default(),
+            pending_copies: Vec::new(),
+            registration: Registration::NotStarted,
         }
     }
 
-    /// Runs until the traffic has ended.
+    /// Runs until the traffic thread has ended.
     pub(super) async fn run(self) -> io::Result<()> {
         let local = tokio::task::LocalSet::new();
         Box::pin(local.run_until(self.run_local())).await
@@ -249,125 +253,132 @@
             Ok(listener) => {
                 tokio::spawn(ready::serve_metrics(listener, self.metrics.clone()));
             }
-            // Callers are served without anyone looking on.
+            // Callers are served also without metrics.
             Err(e) => log::error!(cause = e.to_string(); "metrics are not served"),
         }
         let socket = UdpSocket::bind(self.cfg.reports).await?;
-        let (events_tx, mut events) = mpsc::channel(EVENTS);
+        let (events_tx, mut events) = mpsc::channel(EVENT_CAPACITY);
         let copies = ready::bind(self.cfg.reports).await?;
         tokio::spawn(copies::serve(copies, events_tx.clone()));
-        self.follow_tables(&events_tx);
-        if self.is_held() {
-            // The store has no rows of the product yet.
+        self.start_polling(&events_tx);
+        if self.awaits_copies() {
+            // This is the first start: the store has no rows yet.
             self.register(&events_tx);
         }
         let mut buf = vec![0; datagram::MAX_DATAGRAM];
-        let mut due = Instant::now();
-        let mut not_before = due;
+        let mut next_run = Instant::now();
+        let mut not_before = next_run;
         loop {
             tokio::select! {
                 seen = self.seen.recv() => match seen {
-                    Some(seen) => self.account(&socket, &seen),
+                    Some(seen) => self.report_traffic(&socket, &seen),
                     None => return Ok(()),
                 },
-                Some(event) = events.recv() => self.take(&socket, &events_tx, event),
-                Some(event) = self.trial_events.recv() => self.trial_event(&socket, event),
-                Some(ask) = self.cold_asks.recv() => self.cold_asked(&socket, ask),
+                Some(event) = events.recv() => self.on_event(&socket, &events_tx, event),
+                Some(event) = self.trial_events.recv() => self.on_trial_event(&socket, event),
+                Some(query) = self.cold_queries.recv() => self.on_cold_query(&socket, query),
                 Ok((len, from)) = socket.recv_from(&mut buf) => {
-                    self.datagram_came(&socket, &events_tx, &buf[..len], from);
+                    self.on_datagram(&socket, &events_tx, &buf[..len], from);
                 }
                 _ = self.signals.terminate.recv() => self.stop(),
                 _ = self.signals.hang_up.recv() => self.reload(),
-                () = sleep_until(due) => {}
+                () = sleep_until(next_run) => {}
             }
             let now = Instant::now();
             if now < not_before {
-                due = not_before;
+                next_run = not_before;
                 continue;
             }
-            self.work(&events_tx);
+            self.run_due(&events_tx);
             self.step_trials(&socket);
-            let ranges = self.cluster.ranges() / RANGES_A_MS;
+            let ranges = self.cluster.ranges() / RANGES_PER_MS;
             not_before = now + Duration::from_millis(ranges as u64);
-            due = now + self.tick();
+            next_run = now + self.tick_period();
         }
     }
 
-    /// Time until the next look at what is due, unless something comes before.
-    fn tick(&self) -> Duration {
+    /// Time until the next run of [`Control::run_due`], unless an event comes before.
+    fn tick_period(&self) -> Duration {
         if self.trials.is_waiting() {
             return Duration::from_millis(trials::RESEND_MS);
         }
-        if self.duty.in_office() {
+        if self.leadership.is_leader() {
             return LEADER_TICK;
         }
         TICK
     }
 
-    fn take(&mut self, socket: &UdpSocket, events: &mpsc::Sender<Event>, event: Event) {
+    fn on_event(&mut self, socket: &UdpSocket, events: &mpsc::Sender<Event>, event: Event) {
         let now = clock::mono();
         match event {
-            Event::Store { table, news, asked } => {
+            Event::Store {
+                table,
+                update,
+                sent_at,
+            } => {
                 self.metrics
-                    .count_poll(table, matches!(news, News::Lost(_)));
-                let whole = matches!(news, News::Loaded { .. });
-                match &news {
-                    News::Changed { relay, .. } => self.pass_on(now, socket, relay),
-                    News::Loaded { rows, version, .. } if self.duty.in_office() => {
-                        let relay = self.cluster.changes_by(table, rows, *version);
-                        self.pass_on(now, socket, &relay);
+                    .count_poll(table, matches!(update, TableUpdate::Lost(_)));
+                let is_full = matches!(update, TableUpdate::Loaded { .. });
+                match &update {
+                    TableUpdate::Changed { relay, .. } => self.relay_rows(now, socket, relay),
+                    TableUpdate::Loaded { rows, version, .. } if self.leadership.is_leader() => {
+                        let relay = self.cluster.changes_from_list(table, rows, *version);
+                        self.relay_rows(now, socket, &relay);
                     }
-                    News::Loaded { .. } | News::Lost(_) => {}
+                    TableUpdate::Loaded { .. } | TableUpdate::Lost(_) => {}
                 }
-                if self.cluster.news(now, table, news) == StoreSight::Regained {
-                    self.ask_all();
+                if self.cluster.apply_update(now, table, update) == StoreStatus::Regained {
+                    self.retry_lost_tables();
                 }
                 if table == Table::Own {
-                    if self.duty.rows_seen(now, asked, &self.cluster, whole) {
-                        self.read_own_rows_anew();
+                    if self
+                        .leadership
+                        .apply_store_rows(now, sent_at, &self.cluster, is_full)
+                    {
+                        self.reload_own_rows();
                     }
                     self.register(events);
                 }
             }
-            Event::Ordered { order, result } => {
+            Event::OrderDone { order, result } => {
                 self.metrics.count_order(&order.kind, &result);
-                self.duty.ordered(now, &order, &result);
+                self.leadership.on_order_done(now, &order, &result);
             }
-            Event::Wrote { service, result } => {
+            Event::WriteDone { service, result } => {
                 if let WriteResult::Done(row, version) = &result {
-                    self.pass_on_written(now, socket, &service, row, *version);
+                    self.relay_write(now, socket, &service, row, *version);
                 }
-                self.duty.wrote(now, &service, result);
+                self.leadership.on_write_done(now, &service, result);
             }
-            Event::Claimed => {
-                self.duty.claim_ended();
-                // One that rests has nobody yet who would pass the row on.
-                self.follow(Table::Own).refresh.notify_one();
+            Event::ClaimDone => {
+                self.leadership.on_claim_done();
+                // A passive instance has no leader yet that would relay the row to it.
+                self.poll_control(Table::Own).refresh.notify_one();
             }
-            Event::CrashesWritten { done } => self.crashes_written(now, done),
+            Event::CrashesWritten { done } => self.on_crashes_written(now, done),
             Event::Registered => {
-                self.listed = Listed::Stands;
+                self.registration = Registration::Done;
                 log::info!("instance is listed in the store");
             }
-            Event::CopyAsked {
+            Event::CopyRequested {
                 table,
                 after,
                 reply,
-            } => self.give_copy(table, after, reply),
-            Event::Copied { table, copy } => self.copied(now, table, copy),
+            } => self.send_copy(table, after, reply),
+            Event::CopyDone { table, copy } => self.on_copy_done(now, table, copy),
         }
     }
 
-    /// Does what is due.
-    fn work(&mut self, events: &mpsc::Sender<Event>) {
+    /// Does what is due, publishes the view if it changed, and updates readiness.
+    fn run_due(&mut self, events: &mpsc::Sender<Event>) {
         let now = clock::mono();
         self.cluster.expire(now);
-        self.end_first_wait(now);
-        let due = self.duty.step(now, &mut self.cluster, self.stopping);
-        for (_, follow) in &self.follows {
-            follow.wait_ms.store(due.wait_ms, Ordering::Relaxed);
+        self.end_copy_wait(now);
+        let due = self.leadership.step(now, &mut self.cluster, self.stopping);
+        for (_, control) in &self.polls {
+            control.wait_ms.store(due.wait_ms, Ordering::Relaxed);
         }
-        self.rest_or_poll(now);
+        self.update_polling(now);
         for order in due.orders {
             self.orders.start(order, events.clone());
         }
@@ -378,8 +389,8 @@
             tokio::spawn(async move {
                 let result = write_row(address, &write).await;
                 let service = write.service;
-                // Nobody is left to be told when the process ends.
-                let _ = events.send(Event::Wrote { service, result }).await;
+                // The receiver is gone when the process ends.
+                let _ = events.send(Event::WriteDone { service, result }).await;
             });
         }
         if let Some(claim) = due.claim {
@@ -390,12 +401,12 @@
                     Ok(version) => log::info!(version = version.0; "leader row written"),
                     Err(e) => log::info!(cause = e.to_string(); "leader row not written"),
                 }
-                let _ = events.send(Event::Claimed).await;
+                let _ = events.send(Event::ClaimDone).await;
             });
         }
         self.step_crashes(now, events);
         self.step_cold(now);
-        let (zones, ranges) = self.cluster.left_in_evacuated_zones();
+        let (zones, ranges) = self.cluster.count_evacuated();
         self.metrics.set_evacuated(zones, ranges);
         for (source, count) in self.cluster.unusable.take_counts() {
             self.metrics.count_unusable(source, count);
@@ -403,10 +414,11 @@
         if self.cluster.take_changed() {
             self.publish(now);
         }
-        self.refresh_stale(now, events);
-        // Failure: it takes callers, is killed before it is listed, starts again while the
-        // store is silent, and nobody knows that there is one to be told of the rows.
-        let known = self.listed == Listed::Stands || self.cluster.store_lost();
+        self.refresh_stale_tables(now, events);
+        // Failure: this instance takes callers and is killed before the store lists it. It
+        // starts again while the store is silent, and no other instance knows that it needs
+        // rows.
+        let known = self.registration == Registration::Done || self.cluster.store_lost();
         let ready = !self.stopping && known && self.cluster.is_ready(now);
         if self.ready.set(ready) {
             log::info!(ready; "readiness changed");
@@ -422,7 +434,8 @@
         if self.stopping {
             return;
         }
-        // Settings may change without a signal, and the process ends by their grace.
+        // Settings may have changed without a signal, and the grace of the stop comes from
+        // them.
         self.reload();
         let grace_ms = self.cfg.grace_ms;
         log::info!(grace_ms; "asked to stop");
@@ -434,26 +447,26 @@
         match run::load(&self.settings) {
             Ok(cfg) if cfg == self.cfg => log::info!("settings read again, unchanged"),
             Ok(cfg) => {
-                // Addresses are those of the listening sockets and stay.
+                // Listening sockets are already bound, so changed addresses have no effect.
                 log::info!("settings read again, changed; addresses stay until a restart");
                 self.cfg.retries = cfg.retries;
                 self.cfg.grace_ms = cfg.grace_ms;
             }
-            Err(e) => log::error!(cause = e.to_string(); "settings stay as they are"),
+            Err(e) => log::error!(cause = e.to_string(); "settings not reloaded"),
         }
         let up_ms = clock::mono().since(self.started);
         log::info!(up_ms; "reload done");
     }
 }
 
-async fn write_row(address: std::net::SocketAddr, write: &duty::RowWrite) -> WriteResult {
+async fn write_row(address: std::net::SocketAddr, write: &duty::AssignmentWrite) -> WriteResult {
     match Store::new(address).change(&write.change).await {
         Ok(version) => WriteResult::Done(write.row.clone(), version),
         Err(StoreError::Refused(StoreRefusal::Conflict)) => WriteResult::Conflict,
         Err(StoreError::Refused(StoreRefusal::Busy(_))) => WriteResult::NotDone,
         Err(StoreError::Call(e)) if e.is_unsent() => WriteResult::NotDone,
         Err(e) => {
-            log::info!(cause = e.to_string(); "outcome of a write is not known");
+            log::info!(cause = e.to_string(); "outcome of an assignment write is unknown");
             WriteResult::Unknown
         }
     }
--- a/crates/citronway/src/gateway/control/own_rows.rs
+++ b/crates/citronway/src/gateway/control/own_rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the product's own table: their keys, stored forms, and what they change.
+//! Rows of the product's own table: their keys, their stored forms, and their effects.
 
 use citronway_core::gateway::admission::Owners;
 use citronway_core::gateway::assignment::{Assignment, RowError};
@@ -15,17 +15,17 @@
 
 /// Key of the row that names the leader.
 ///
-/// It is as in the version before: while all instances are restarted in turn, both versions
-/// have to see one leader.
+/// The previous version uses the same key: during a rolling restart, both versions have to
+/// see one leader.
 pub(super) const LEADER_KEY: &str = "keeper";
 
 /// Key of the row about requests that crash endpoints.
 pub(super) const CRASHES_KEY: &str = "crashes";
 
-/// Keys of assignments begin so; the service follows.
+/// Prefix of the keys of assignments, followed by the service.
 const KEYS_PREFIX: &str = "keys/";
 
-/// Keys of the instances' rows begin so; the name follows.
+/// Prefix of the keys of instances' rows, followed by the name.
 const INSTANCE_PREFIX: &str = "instance/";
 
 /// Stored form of the leader's row.
@@ -37,47 +37,52 @@
 }
 
 impl Cluster {
-    pub(super) fn own_rows(&mut self, now: Mono, rows: &[Row]) {
+    pub(super) fn apply_own_rows(&mut self, now: Mono, rows: &[Row]) {
         for row in rows {
             let key = row.key.as_str();
             if key == CRASHES_KEY {
-                self.crashes_row(now, row);
+                self.apply_crashes_row(now, row);
                 continue;
             }
             let Some(value) = &row.value else { continue };
-            let taken = if key == LEADER_KEY {
-                self.leader_row(now, row.version, value)
+            let applied = if key == LEADER_KEY {
+                self.apply_leader_row(now, row.version, value)
             } else if let Some(service) = key.strip_prefix(KEYS_PREFIX) {
-                self.assignment_row(&ServiceName::new(service), row.version, value)
+                self.apply_assignment_row(&ServiceName::new(service), row.version, value)
             } else if let Some(name) = key.strip_prefix(INSTANCE_PREFIX) {
-                self.instance_row(&InstanceName::new(name), value)
+                self.apply_instance_row(&InstanceName::new(name), value)
             } else {
                 Ok(())
             };
-            match taken {
-                Ok(()) => self.unusable.settled(Source::OwnRow, key),
-                Err(e) => self.unusable.refused(Source::OwnRow, key, e.to_string()),
+            match applied {
+                Ok(()) => self.unusable.clear(Source::OwnRow, key),
+                Err(e) => self.unusable.record_row(Source::OwnRow, key, e.to_string()),
             }
         }
     }
 
-    fn crashes_row(&mut self, now: Mono, row: &Row) {
-        match self.crashes.row_seen(now, row) {
-            Ok(()) => self.unusable.settled(Source::OwnRow, CRASHES_KEY),
+    fn apply_crashes_row(&mut self, now: Mono, row: &Row) {
+        match self.crashes.apply_row(now, row) {
+            Ok(()) => self.unusable.clear(Source::OwnRow, CRASHES_KEY),
             Err(e) => {
                 let cause = e.to_string();
-                self.unusable.refused(Source::OwnRow, CRASHES_KEY, cause);
+                self.unusable.record_row(Source::OwnRow, CRASHES_KEY, cause);
             }
         }
     }
 
-    fn instance_row(&mut self, name: &InstanceName, value: &[u8]) -> Result<(), RowError> {
+    fn apply_instance_row(&mut self, name: &InstanceName, value: &[u8]) -> Result<(), RowError> {
         let row = serde_json::from_slice::<InstanceRow>(value)?;
-        self.peers.row_seen(name, row);
+        self.peers.set_row(name, row);
         Ok(())
     }
 
-    fn leader_row(&mut self, now: Mono, version: Version, value: &[u8]) -> Result<(), RowError> {
+    fn apply_leader_row(
+        &mut self,
+        now: Mono,
+        version: Version,
+        value: &[u8],
+    ) -> Result<(), RowError> {
         let stored = serde_json::from_slice::<StoredLeader>(value)?;
         if self
             .leader
@@ -105,7 +110,7 @@
         Ok(())
     }
 
-    fn assignment_row(
+    fn apply_assignment_row(
         &mut self,
         service: &ServiceName,
         version: Version,
@@ -114,12 +119,12 @@
         let assignment = Assignment::from_bytes(value)?;
         let known = self.owners.get(service);
         if known.is_none_or(|known| known.version < version) {
-            self.owners_known(service, version, assignment);
+            self.set_owners(service, version, assignment);
         }
         Ok(())
     }
 
-    fn owners_known(&mut self, service: &ServiceName, version: Version, assignment: Assignment) {
+    fn set_owners(&mut self, service: &ServiceName, version: Version, assignment: Assignment) {
         let moving = assignment
             .ranges
             .iter()
@@ -134,34 +139,36 @@
         self.owners.insert(service.clone(), owners);
     }
 
-    /// A relay in which changes stand for large rows of which most stays as it was.
+    /// Copy of a relay in which large rows are replaced by patches against the known row,
+    /// where most of the row is unchanged. Rows that were relayed before are left out.
     pub(super) fn with_patches(&self, relay: &Relay) -> Relay {
-        let mut slim = Relay {
+        let mut patched = Relay {
             rows: Vec::new(),
             ..relay.clone()
         };
         for row in &relay.rows {
-            if self.knows(row) {
+            if self.is_known_assignment(row) {
                 continue;
             }
-            match self.patch(row) {
-                Some(patch) => slim.patches.push(patch),
-                None => slim.rows.push(row.clone()),
+            match self.patch_for(row) {
+                Some(patch) => patched.patches.push(patch),
+                None => patched.rows.push(row.clone()),
             }
         }
-        slim
+        patched
     }
 
-    /// Whether a row is an assignment that is known already, and was passed on when it was
+    /// Whether a row is an assignment that is already known. It was relayed when it was
     /// written.
-    fn knows(&self, row: &Row) -> bool {
+    fn is_known_assignment(&self, row: &Row) -> bool {
         let service = row.key.strip_prefix(KEYS_PREFIX).map(ServiceName::new);
         let known = service.and_then(|service| self.owners.get(&service));
         known.is_some_and(|known| known.version >= row.version)
     }
 
-    /// An assignment that was just written, as a relay; none if it cannot be written down.
-    pub(super) fn written(
+    /// A relay of an assignment that was just written; `None` if this version or a newer
+    /// one is known, or if it can't be encoded.
+    pub(super) fn relay_of_write(
         &self,
         service: &ServiceName,
         row: &Assignment,
@@ -185,14 +192,14 @@
         })
     }
 
-    fn patch(&self, row: &Row) -> Option<Patch> {
+    fn patch_for(&self, row: &Row) -> Option<Patch> {
         let service = ServiceName::new(row.key.strip_prefix(KEYS_PREFIX)?);
         let value = row.value.as_deref()?;
         let known = self.owners.get(&service)?;
         if known.version >= row.version {
             return None;
         }
-        // A row that cannot be read is passed on as it is, and each receiver says so.
+        // A malformed row is relayed as it is, and each receiver logs it.
         let newer = Assignment::from_bytes(value).ok()?;
         let change = newer.changes_since(&known.assignment).ok()?;
         Some(Patch {
@@ -203,21 +210,22 @@
         })
     }
 
-    /// Whether the rows that a relay changes are known as they were before.
+    /// Whether each row that a relay patches is known in the version that the patch starts
+    /// from, or in one that already includes the patch.
     pub(super) fn can_patch(&self, relay: &Relay) -> bool {
         relay.patches.iter().all(|patch| {
-            let known = self.patched_row(patch).map(|known| known.version);
+            let known = self.row_to_patch(patch).map(|known| known.version);
             known.is_some_and(|known| known == patch.before || known >= patch.version)
         })
     }
 
-    fn patched_row(&self, patch: &Patch) -> Option<&Owners> {
+    fn row_to_patch(&self, patch: &Patch) -> Option<&Owners> {
         let service = patch.key.strip_prefix(KEYS_PREFIX)?;
         self.owners.get(&ServiceName::new(service))
     }
 
-    pub(super) fn patched(&mut self, patch: &Patch) {
-        let Some(known) = self.patched_row(patch) else {
+    pub(super) fn apply_patch(&mut self, patch: &Patch) {
+        let Some(known) = self.row_to_patch(patch) else {
             return;
         };
         if known.version != patch.before {
@@ -226,18 +234,18 @@
         match known.assignment.with_changes(&patch.change) {
             Ok(assignment) => {
                 let service = ServiceName::new(patch.key.trim_start_matches(KEYS_PREFIX));
-                self.owners_known(&service, patch.version, assignment);
-                self.own.has_seen(patch.version.0);
+                self.set_owners(&service, patch.version, assignment);
+                self.own.observe_version(patch.version.0);
                 self.changed = true;
             }
             Err(e) => self
                 .unusable
-                .refused(Source::OwnRow, &patch.key, e.to_string()),
+                .record_row(Source::OwnRow, &patch.key, e.to_string()),
         }
     }
 }
 
-/// Whether a key of any table is that of an assignment.
+/// Whether a key is that of an assignment.
 pub(super) fn is_assignment(key: &str) -> bool {
     key.starts_with(KEYS_PREFIX)
 }
@@ -247,18 +255,20 @@
     key.starts_with(INSTANCE_PREFIX)
 }
 
-/// Whether the version of a row of the own table tells that rows before it were missed.
-pub(super) fn is_chained(key: &str) -> bool {
+/// Whether a gap in the versions of this row of the own table shows that earlier rows were
+/// missed.
+pub(super) fn is_sequenced(key: &str) -> bool {
     !is_instance(key) && key != LEADER_KEY
 }
 
-/// An assignment as its row, with the changes that came since the row was read.
+/// The row of an assignment, with all patches since the row was read; `None` if it can't be
+/// encoded.
 pub(super) fn assignment_as_row((service, owners): (&ServiceName, &Owners)) -> Option<Row> {
     let value = match owners.assignment.to_bytes() {
         Ok(value) => value,
         Err(e) => {
             let service = service.as_str();
-            log::error!(service, cause = e.to_string(); "an assignment cannot be copied");
+            log::error!(service, cause = e.to_string(); "assignment cannot be encoded");
             return None;
         }
     };
@@ -279,7 +289,7 @@
     format!("{KEYS_PREFIX}{service}")
 }
 
-/// Stored form of a leader's row.
+/// Stored form of the leader's row.
 pub(super) fn leader_value(
     me: &Session,
     term: u64,
--- a/crates/citronway/src/gateway/control/reporting.rs
+++ b/crates/citronway/src/gateway/control/reporting.rs
@@ -1,4 +1,4 @@
-//! What this instance tells the others: its reports, and sums and rows as their leader.
+//! Messages to other instances: reports, and as the leader totals and relayed rows.
 
 use std::net::SocketAddr;
 
@@ -17,58 +17,59 @@
 use crate::clock;
 use crate::gateway::traffic::TrafficReport;
 
-/// Of how many looks at the traffic one is reported: by a delegate, by a member, and by one
-/// to whom nobody passes sums on. Hot ranges are cut up by what the leader hears, and their
-/// callers queue meanwhile.
-const DELEGATE_LOOKS: u64 = 1;
-const MEMBER_LOOKS: u64 = 2;
-const ALONE_LOOKS: u64 = 6;
+/// One observation of the traffic in this many is reported: by a delegate, by a member, and
+/// by an instance without a delegate. The leader splits hot ranges by these reports, and
+/// callers of those ranges queue until then.
+const DELEGATE_PERIOD: u64 = 1;
+const MEMBER_PERIOD: u64 = 2;
+const ALONE_PERIOD: u64 = 6;
 
-/// Turns in which the estimates of all endpoints are told: each is told every second.
-const PACE_TURNS: u64 = 5;
+/// Rounds over which the estimates of all endpoints are sent: each endpoint's every second.
+const PACE_ROUNDS: u64 = 5;
 
-/// How long the names of those that claim first stand while the store does not answer the
-/// leader, in milliseconds.
-const STANDBYS_STAND_MS: u64 = 2_000;
+/// Time for which the standbys stay the same while the store does not answer the leader, in
+/// milliseconds.
+const STANDBYS_KEPT_MS: u64 = 2_000;
 
 impl Control {
-    /// Takes an account of the traffic and reports it to the others.
-    pub(super) fn account(&mut self, socket: &UdpSocket, seen: &TrafficReport) {
+    /// Records an observation of the traffic and reports it to the other instances.
+    pub(super) fn report_traffic(&mut self, socket: &UdpSocket, seen: &TrafficReport) {
         let now = clock::mono();
-        self.reports += 1;
-        self.duty.work_seen(&seen.work_ms);
+        self.report_number += 1;
+        self.leadership.set_work_ms(&seen.work_ms);
         self.unreported.add(seen.usage.clone());
-        self.trials.crashes_seen(&seen.signs);
-        self.cluster.crashes.own_seen(now, &seen.signs);
-        if self.leads_many(now) {
-            self.report_to_itself(now);
-            self.tell_totals(now, socket);
+        self.trials.record_crashes(&seen.signs);
+        self.cluster.crashes.record_own_signs(now, &seen.signs);
+        if self.leads_large_fleet(now) {
+            self.record_own_report(now);
+            self.send_totals(now, socket);
             return;
         }
-        match self.place.role(now) {
-            Role::Alone if !self.cluster.peers.are_many(now) => self.tell_all(now, socket),
-            Role::Alone => self.report_in_tree(now, socket, ALONE_LOOKS, None),
-            Role::Member(to) => self.report_in_tree(now, socket, MEMBER_LOOKS, Some(to)),
-            Role::Delegate(to) => self.report_in_tree(now, socket, DELEGATE_LOOKS, Some(to)),
+        match self.tree_position.role(now) {
+            Role::Alone if !self.cluster.peers.is_large_fleet(now) => self.broadcast(now, socket),
+            Role::Alone => self.report_to_parent(now, socket, ALONE_PERIOD, None),
+            Role::Member(to) => self.report_to_parent(now, socket, MEMBER_PERIOD, Some(to)),
+            Role::Delegate(to) => self.report_to_parent(now, socket, DELEGATE_PERIOD, Some(to)),
         }
     }
 
-    /// Whether this instance leads a fleet in which not all tell all.
-    pub(super) fn leads_many(&self, now: Mono) -> bool {
+    /// Whether this instance leads a fleet that is too large for all to report to all.
+    pub(super) fn leads_large_fleet(&self, now: Mono) -> bool {
         let peers = &self.cluster.peers;
-        self.duty.in_office() && (peers.are_many(now) || peers.heard(now) >= MAX_FULL_MESH)
+        self.leadership.is_leader()
+            && (peers.is_large_fleet(now) || peers.heard_count(now) >= MAX_FULL_MESH)
     }
 
-    /// Reports to all others, in a small fleet.
-    fn tell_all(&mut self, now: Mono, socket: &UdpSocket) {
-        let mut report = self.report_to_itself(now);
+    /// Sends a report to all others, in a small fleet.
+    fn broadcast(&mut self, now: Mono, socket: &UdpSocket) {
+        let mut report = self.record_own_report(now);
         (report.first_sign, report.signs) = self.cluster.crashes.take_signs();
         let leader = self.cluster.leader_address();
         if let Some(address) = leader {
             let bytes = datagram::encode(&Datagram::Report(report.clone()));
             self.send(socket, &bytes, address);
         }
-        // Only the leader places keys.
+        // Only the leader assigns keys.
         report.keys.clear();
         let bytes = datagram::encode(&Datagram::Report(report));
         for address in self.cluster.peers.addresses() {
@@ -79,23 +80,23 @@
         self.publish(now);
     }
 
-    /// Reports to whoever sums up for this instance, once in so many looks; to the leader
-    /// that the store names where nobody does.
-    fn report_in_tree(
+    /// Reports to `to`, the delegate or leader that sums up for this instance, once every
+    /// `every` observations; without one, to the leader that the store names.
+    fn report_to_parent(
         &mut self,
         now: Mono,
         socket: &UdpSocket,
-        looks: u64,
+        every: u64,
         to: Option<SocketAddr>,
     ) {
-        let is_due = self.reports.is_multiple_of(looks) || self.reports <= 1;
-        if !is_due && !self.cluster.crashes.has_news() {
+        let is_due = self.report_number.is_multiple_of(every) || self.report_number <= 1;
+        if !is_due && !self.cluster.crashes.has_unsent_signs() {
             return;
         }
         let Some(to) = to.or_else(|| self.cluster.leader_address()) else {
             return;
         };
-        let own = self.report_to_itself(now).into_observations();
+        let own = self.record_own_report(now).into_observations();
         let members = self.cluster.peers.members(now);
         let merged = if members.is_empty() {
             own
@@ -103,56 +104,57 @@
             let in_flight = self.cluster.peers.members_use(now);
             self.gathered.take_with(&own, in_flight)
         };
-        let mut report = self.report(now, merged);
+        let mut report = self.build_report(now, merged);
         report.members = members;
         (report.first_sign, report.signs) = self.cluster.crashes.take_signs();
         let bytes = datagram::encode(&Datagram::Report(report));
         self.send(socket, &bytes, to);
-        if self.place.role(now) == Role::Alone {
-            // Sums bring all others their new view.
+        if self.tree_position.role(now) == Role::Alone {
+            // In other roles the view is published when totals come.
             self.publish(now);
         }
     }
 
-    /// Takes what this instance itself has seen since it did so last.
-    fn report_to_itself(&mut self, now: Mono) -> Report {
+    /// Records what this instance itself has observed since the last call, and returns it
+    /// as a report.
+    fn record_own_report(&mut self, now: Mono) -> Report {
         let own = std::mem::take(&mut self.unreported);
-        let report = self.report(now, own);
-        self.duty.traffic_seen(now, &report);
-        self.cluster.own_traffic(&report);
-        self.cluster.traffic_seen(now, &report);
+        let report = self.build_report(now, own);
+        self.leadership.record_traffic(now, &report);
+        self.cluster.set_own_use(&report);
+        self.cluster.record_traffic(now, &report);
         report
     }
 
-    /// As the leader, tells all instances what they have at contended endpoints together.
-    fn tell_totals(&mut self, now: Mono, socket: &UdpSocket) {
-        if now.since(self.told_totals) < TOTALS_INTERVAL_MS {
+    /// As the leader, sends the totals of contended endpoints to all instances.
+    fn send_totals(&mut self, now: Mono, socket: &UdpSocket) {
+        if now.since(self.totals_sent_at) < TOTALS_INTERVAL_MS {
             return;
         }
-        self.told_totals = now;
-        // What it saw itself, it has counted; all others hear of it by the sums.
+        self.totals_sent_at = now;
+        // The leader has counted its own signs; all others learn of them by the totals.
         self.cluster.crashes.take_signs();
         let candidates = self.cluster.peers.candidates();
         let branches = self.tree.plan(now, &candidates);
-        let mut totals = self.totals(now);
-        let bare = datagram::encode(&Datagram::Totals(totals.clone()));
+        let mut totals = self.build_totals(now);
+        let without_members = datagram::encode(&Datagram::Totals(totals.clone()));
         for branch in &branches {
             if branch.members.is_empty() {
-                self.send(socket, &bare, branch.to);
+                self.send(socket, &without_members, branch.to);
                 continue;
             }
             totals.members.clone_from(&branch.members);
             let bytes = datagram::encode(&Datagram::Totals(totals.clone()));
             self.send(socket, &bytes, branch.to);
         }
-        self.note_tree(&branches);
+        self.log_tree(&branches);
         self.branches = branches;
         totals.members.clear();
-        self.cluster.peers.totals(now, totals);
+        self.cluster.peers.set_totals(now, totals);
         self.publish(now);
     }
 
-    fn note_tree(&self, branches: &[Branch]) {
+    fn log_tree(&self, branches: &[Branch]) {
         let shape = |branches: &[Branch]| {
             let members: usize = branches.iter().map(|branch| branch.members.len()).sum();
             (branches.len(), members)
@@ -164,62 +166,62 @@
         }
     }
 
-    /// Names who claims first when this leader falls silent.
+    /// Chooses the standbys, which claim first when this leader falls silent.
     ///
-    /// Failure: the store is away for all. Those that are to watch it say that they are not
-    /// fit, the next ones watch, and soon all instances ask it. So the names stand for a
-    /// while then.
-    fn name_standbys(&mut self, now: Mono, store_lost: bool) {
-        let stands_ms = if store_lost { STANDBYS_STAND_MS } else { 0 };
-        if now.since(self.standbys.1) < stands_ms {
+    /// Failure: the store is away for all. The standbys that watch it report that they are
+    /// unfit, the next ones watch it, and soon all instances ask it. So the standbys stay
+    /// the same for a while then.
+    fn update_standbys(&mut self, now: Mono, store_lost: bool) {
+        let kept_ms = if store_lost { STANDBYS_KEPT_MS } else { 0 };
+        if now.since(self.standbys.1) < kept_ms {
             return;
         }
-        let sights = self.cluster.peers.sights();
-        self.standbys = (election::standbys(now, &sights), now);
+        let states = self.cluster.peers.states();
+        self.standbys = (election::standbys(now, &states), now);
     }
 
-    fn totals(&mut self, now: Mono) -> Totals {
+    fn build_totals(&mut self, now: Mono) -> Totals {
         let store_lost = self.cluster.is_lost(Table::Endpoints);
-        self.name_standbys(now, store_lost);
+        self.update_standbys(now, store_lost);
         let cluster = &self.cluster;
         let (refused, suspects) = cluster.crashes.totals(now);
         let newest = cluster.peers.newest(now);
-        let own = cluster.seen();
+        let own = cluster.seen_versions();
         Totals {
             leader: self.me.clone(),
-            term: self.duty.term(),
-            number: self.reports,
+            term: self.leadership.term(),
+            number: self.report_number,
             stopping: self.stopping,
-            unfit: self.duty.is_unfit(now, cluster),
+            unfit: self.leadership.is_unfit(now, cluster),
             store_lost,
             strength: self.cfg.strength,
-            row: cluster.leader_row_kept(),
+            row: cluster.kept_leader_row(),
             seen: own.newer(newest),
-            instances: u32::try_from(cluster.peers.heard(now) + 1).unwrap_or(u32::MAX),
+            instances: u32::try_from(cluster.peers.heard_count(now) + 1).unwrap_or(u32::MAX),
             standbys: self.standbys.0.clone(),
             endpoints: cluster.contended(now),
             paces: cluster
                 .paces
-                .estimates_to_send(now, self.reports / 2, PACE_TURNS),
+                .estimates_to_send(now, self.report_number / 2, PACE_ROUNDS),
             refused,
             suspects,
             members: Vec::new(),
         }
     }
 
-    fn report(&self, now: Mono, mut seen: report::Observations) -> Report {
+    fn build_report(&self, now: Mono, mut seen: report::Observations) -> Report {
         for samples in &mut seen.keys {
             samples.keys.truncate(MAX_KEYS);
         }
         Report {
             instance: self.me.instance.clone(),
             session: self.me.id,
-            number: self.reports,
+            number: self.report_number,
             stopping: self.stopping,
-            unfit: self.duty.is_unfit(now, &self.cluster),
+            unfit: self.leadership.is_unfit(now, &self.cluster),
             strength: self.cfg.strength,
-            term: self.duty.term(),
-            seen: self.cluster.seen(),
+            term: self.leadership.term(),
+            seen: self.cluster.seen_versions(),
             endpoints: seen.endpoints,
             keys: seen.keys,
             members: Vec::new(),
@@ -228,9 +230,9 @@
         }
     }
 
-    /// Lets an instance know the newest term.
-    pub(super) fn report_term(&self, now: Mono, socket: &UdpSocket, to: SocketAddr) {
-        let report = self.report(now, report::Observations::default());
+    /// Sends the newest known term to an instance.
+    pub(super) fn send_term(&self, now: Mono, socket: &UdpSocket, to: SocketAddr) {
+        let report = self.build_report(now, report::Observations::default());
         self.send(socket, &datagram::encode(&Datagram::Report(report)), to);
     }
 
@@ -238,14 +240,14 @@
         if to == self.cfg.reports || bytes.len() > datagram::MAX_DATAGRAM {
             return;
         }
-        // What is lost shows by newer numbers and positions in later reports.
+        // The receiver notices a loss by newer numbers and positions in later messages.
         if let Err(e) = socket.try_send_to(bytes, to) {
             log::debug!(cause = e.to_string(), to = to.to_string(); "datagram not sent");
         }
     }
 
-    /// Passes an assignment on that this leader has just written, and believes it.
-    pub(super) fn pass_on_written(
+    /// Relays an assignment that this leader has just written, and applies it.
+    pub(super) fn relay_write(
         &mut self,
         now: Mono,
         socket: &UdpSocket,
@@ -253,23 +255,23 @@
         row: &Assignment,
         version: Version,
     ) {
-        let Some(relay) = self.cluster.written(service, row, version) else {
+        let Some(relay) = self.cluster.relay_of_write(service, row, version) else {
             return;
         };
-        self.pass_on(now, socket, &relay);
-        self.cluster.relayed(now, &relay);
+        self.relay_rows(now, socket, &relay);
+        self.cluster.apply_relay(now, &relay);
     }
 
-    /// Passes rows on to those that rest.
-    pub(super) fn pass_on(&self, now: Mono, socket: &UdpSocket, relay: &Relay) {
-        if !self.duty.in_office() {
+    /// As the leader, relays rows to the passive instances.
+    pub(super) fn relay_rows(&self, now: Mono, socket: &UdpSocket, relay: &Relay) {
+        if !self.leadership.is_leader() {
             return;
         }
         let mut relay = self.cluster.with_patches(relay);
-        // What receivers must have seen before is the newest row, not the store's position,
+        // Receivers must have seen the newest row before, rather than the store's position,
         // which moves with rows of all tables.
-        relay.after = Version(self.cluster.seen().of(relay.table));
-        if !self.leads_many(now) {
+        relay.after = Version(self.cluster.seen_versions().of(relay.table));
+        if !self.leads_large_fleet(now) {
             for bytes in relays::in_datagrams(relay) {
                 for address in self.cluster.peers.addresses() {
                     self.send(socket, &bytes, address);
@@ -277,8 +279,8 @@
             }
             return;
         }
-        // Load: 295 instances list themselves within 2 s, and each row would go to all. Only
-        // a leader needs them, and reads them when it takes office.
+        // Load: 295 instances list themselves within 2 s, and each row would go to all.
+        // Only a leader needs them, and reads them when it becomes leader.
         relay.rows.retain(|row| !own_rows::is_instance(&row.key));
         if relay.rows.is_empty() && relay.patches.is_empty() {
             return;
--- a/crates/citronway/src/gateway/traffic/state/mod.rs
+++ b/crates/citronway/src/gateway/traffic/state/mod.rs
@@ -1,4 +1,4 @@
-//! What all requests of the traffic thread share.
+//! State that all requests of the traffic thread share.
 
 mod guards;
 mod phase;
@@ -19,8 +19,8 @@
 use indexmap::IndexMap;
 use tokio::sync::{Notify, oneshot, watch};
 
-use super::asks::Asks;
-use super::ended::Looks;
+use super::asks::ControlClient;
+use super::ended::ListenerProbes;
 use super::open_requests::OpenRequests;
 use super::pool::Pool;
 use super::seen::TrafficReport;
@@ -32,8 +32,8 @@
 pub(super) use phase::Phase;
 pub use phase::Stop;
 
-/// Weight of the newest answer in the mean time of work, and size, of a route.
-const WORK_WEIGHT: f64 = 0.02;
+/// Weight of the newest answer in a route's mean work time and mean answer size.
+const MEAN_WEIGHT: f64 = 0.02;
 
 /// State of the traffic thread.
 #[derive(Debug)]
@@ -42,49 +42,49 @@
     pub stop: watch::Receiver<Stop>,
     pub pool: RefCell<Pool>,
     pub metrics: Metrics,
-    /// Looks at endpoints whose connections broke.
-    pub looks: Looks,
-    /// Requests without a whole answer.
-    pub open: Rc<OpenRequests>,
+    /// Probes of endpoints whose connections broke.
+    pub listener_probes: ListenerProbes,
+    /// Requests without a complete answer.
+    pub open_requests: Rc<OpenRequests>,
     admission: RefCell<Admission>,
     waiting: RefCell<IndexMap<u64, oneshot::Sender<Decision>>>,
-    any_waits: Notify,
-    tickets: Cell<u64>,
-    limit: RetryLimit,
-    /// How much more than its service states a cold endpoint may get, as a factor.
+    waiting_added: Notify,
+    last_ticket: Cell<u64>,
+    retry_limit: RetryLimit,
+    /// Factor by which the rate limit that a service states for cold endpoints may be exceeded.
     cold_overage: f64,
-    second_sends: RefCell<IndexMap<ServiceName, SharedRetryBudget>>,
-    /// Mean time of work by route, in milliseconds.
-    work: RefCell<IndexMap<String, Work>>,
+    retry_budgets: RefCell<IndexMap<ServiceName, SharedRetryBudget>>,
+    /// Statistics by route name.
+    route_stats: RefCell<IndexMap<String, RouteStats>>,
     answers: RefCell<IndexMap<EndpointTag, Answers>>,
-    keys: RefCell<IndexMap<ServiceName, Vec<u16>>>,
-    /// An endpoint crashed, and others are to know it at once.
+    key_samples: RefCell<IndexMap<ServiceName, Vec<u16>>>,
+    /// Notified when an endpoint has crashed, so that other instances learn of it at once.
     pub crash_seen: Notify,
-    /// What was seen of work that may crash endpoints, since the last account.
+    /// Signs of work that crashed endpoints, or that ran to its end, since the last report.
     signs: RefCell<Vec<Sign>>,
-    /// What `control` decides.
-    pub asks: Asks,
+    /// Queries to `control`.
+    pub control: ControlClient,
     connections: Cell<u32>,
     phase: watch::Sender<Phase>,
 }
 
 #[derive(Debug)]
-struct Work {
+struct RouteStats {
     /// First service of the route.
     service: Option<ServiceName>,
     mean_ms: f64,
-    /// Mean size of an answer, in bytes; none before the first.
+    /// Mean size of an answer, in bytes; `None` before the first answer.
     mean_bytes: Option<f64>,
-    /// Longest time that a caller stated to wait, in milliseconds.
+    /// Longest wait that a caller has stated, in milliseconds.
     longest_wait_ms: u64,
-    /// Requests of the route so far; places them among its targets.
-    taken: u64,
+    /// Requests of the route so far; the count assigns each request to one of its targets.
+    requests: u64,
 }
 
-/// What is usual on a route.
+/// Estimates for a request of a route.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Usual {
-    /// Number of the request among those of its route.
+pub(super) struct RouteEstimate {
+    /// Number of the request within its route.
     pub number: u64,
     /// Mean time of work, in milliseconds.
     pub work_ms: u64,
@@ -98,28 +98,28 @@
         view: watch::Receiver<View>,
         stop: watch::Receiver<Stop>,
         metrics: Metrics,
-        asks: Asks,
+        control: ControlClient,
     ) -> Self {
         Self {
             view,
             stop,
             pool: RefCell::default(),
-            open: Rc::new(OpenRequests::new(metrics.clone())),
+            open_requests: Rc::new(OpenRequests::new(metrics.clone())),
             metrics,
-            looks: Looks::default(),
+            listener_probes: ListenerProbes::default(),
             admission: RefCell::default(),
             waiting: RefCell::default(),
-            any_waits: Notify::new(),
-            tickets: Cell::new(0),
-            limit: cfg.retries,
+            waiting_added: Notify::new(),
+            last_ticket: Cell::new(0),
+            retry_limit: cfg.retries,
             cold_overage: cfg.cold_overage,
-            second_sends: RefCell::default(),
-            work: RefCell::default(),
+            retry_budgets: RefCell::default(),
+            route_stats: RefCell::default(),
             answers: RefCell::default(),
-            keys: RefCell::default(),
+            key_samples: RefCell::default(),
             crash_seen: Notify::new(),
             signs: RefCell::default(),
-            asks,
+            control,
             connections: Cell::new(0),
             phase: watch::Sender::new(Phase::Serving),
         }
@@ -135,51 +135,52 @@
         matches!(*self.stop.borrow(), Stop::Within { .. })
     }
 
-    pub(super) fn ticket(&self) -> u64 {
-        self.tickets.set(self.tickets.get() + 1);
-        self.tickets.get()
+    pub(super) fn next_ticket(&self) -> u64 {
+        self.last_ticket.set(self.last_ticket.get() + 1);
+        self.last_ticket.get()
     }
 
-    /// Counts a request of a route and tells what is usual there.
-    pub(super) fn count(&self, route: &Route) -> Usual {
-        let mut work = self.work.borrow_mut();
-        // Instances begin at different places, so that few requests of each still
-        // divide well over all.
-        let first = || Work {
+    /// Counts a request of a route and returns the estimates for it.
+    pub(super) fn record_arrival(&self, route: &Route) -> RouteEstimate {
+        let mut stats = self.route_stats.borrow_mut();
+        // Instances start at different numbers, so that the requests divide well over the
+        // targets even if each instance gets few of them.
+        let new_stats = || RouteStats {
             service: route.targets.first().map(|target| target.service.clone()),
-            // A first guess; the mean follows the answers.
+            // Initial guess; the mean follows the answers.
             mean_ms: route.objective_ms as f64 * 0.3,
             mean_bytes: None,
             longest_wait_ms: 0,
-            taken: self.view.borrow().rank % 1_000,
+            requests: self.view.borrow().rank % 1_000,
         };
-        let entry = work.entry(route.name.clone()).or_insert_with(first);
-        entry.taken += 1;
+        let entry = stats.entry(route.name.clone()).or_insert_with(new_stats);
+        entry.requests += 1;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "times and sizes are positive and far below the range"
         )]
         let whole = |mean: f64| mean as u64;
-        Usual {
-            number: entry.taken,
+        RouteEstimate {
+            number: entry.requests,
             work_ms: whole(entry.mean_ms),
             answer_bytes: whole(entry.mean_bytes.unwrap_or_default()),
         }
     }
 
-    /// The longest time that callers of the route were seen to wait, this one included.
-    pub(super) fn usual_wait_ms(&self, route: &str, stated_ms: u64) -> u64 {
-        let mut work = self.work.borrow_mut();
-        let Some(work) = work.get_mut(route) else {
+    /// Records the wait that a caller states and returns the longest one seen on the route, in
+    /// milliseconds.
+    pub(super) fn record_wait(&self, route: &str, stated_ms: u64) -> u64 {
+        let mut stats = self.route_stats.borrow_mut();
+        let Some(stats) = stats.get_mut(route) else {
             return stated_ms;
         };
-        work.longest_wait_ms = work.longest_wait_ms.max(stated_ms);
-        work.longest_wait_ms
+        stats.longest_wait_ms = stats.longest_wait_ms.max(stated_ms);
+        stats.longest_wait_ms
     }
 
     pub(super) fn count_key(&self, service: &ServiceName, key: u16) {
-        let mut keys = self.keys.borrow_mut();
+        let mut keys = self.key_samples.borrow_mut();
         let list = keys.entry(service.clone()).or_default();
         if list.len() < MAX_KEYS {
             list.push(key);
@@ -187,24 +188,30 @@
     }
 
     pub(super) fn count_request(&self, now: Mono, service: &ServiceName) {
-        self.budget(service, |budget| budget.record_request(now));
+        self.with_budget(service, |budget| budget.record_request(now));
     }
 
-    pub(super) fn take_second_send(&self, now: Mono, service: &ServiceName) -> bool {
+    pub(super) fn take_retry(&self, now: Mono, service: &ServiceName) -> bool {
         let instances = self.view.borrow().instances;
-        self.budget(service, |budget| budget.try_take(now, instances))
+        self.with_budget(service, |budget| budget.try_take(now, instances))
     }
 
-    fn budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut SharedRetryBudget) -> T) -> T {
-        let mut all = self.second_sends.borrow_mut();
-        let limit = self.limit;
+    fn with_budget<T>(
+        &self,
+        service: &ServiceName,
+        f: impl FnOnce(&mut SharedRetryBudget) -> T,
+    ) -> T {
+        let mut all = self.retry_budgets.borrow_mut();
+        let limit = self.retry_limit;
         f(all
             .entry(service.clone())
             .or_insert_with(|| SharedRetryBudget::new(limit)))
     }
 
-    /// Asks for a place; waits for it if need be.
-    pub(super) async fn place(&self, job: Job) -> Option<Decision> {
+    /// Requests a place at an endpoint and waits for it if none is free.
+    ///
+    /// Returns `None` if no decision was made.
+    pub(super) async fn find_place(&self, job: Job) -> Option<Decision> {
         let now = clock::mono();
         let ticket = job.ticket;
         let decided = self
@@ -216,7 +223,7 @@
         }
         let (tx, rx) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, tx);
-        self.any_waits.notify_one();
+        self.waiting_added.notify_one();
         let mut waiting = Waiting {
             state: self,
             ticket,
@@ -225,7 +232,7 @@
         (&mut waiting.decided).await.ok()
     }
 
-    /// Marks a sent request's place as taken until the guard is dropped.
+    /// Holds the place of a sent request until the guard is dropped.
     pub(super) fn in_flight(self: &Rc<Self>, choice: &Choice) -> InFlight {
         InFlight {
             state: Rc::clone(self),
@@ -233,80 +240,86 @@
         }
     }
 
-    /// Notes a whole answer, its size and the time it took.
-    pub(super) fn served(&self, route: &str, endpoint: &EndpointStart, took_ms: u64, bytes: usize) {
+    /// Records a complete answer, its size in bytes and its time in milliseconds.
+    pub(super) fn record_served(
+        &self,
+        route: &str,
+        endpoint: &EndpointStart,
+        took_ms: u64,
+        bytes: usize,
+    ) {
         let took = took_ms as f64;
-        let mut work = self.work.borrow_mut();
-        let Some(work) = work.get_mut(route) else {
+        let mut stats = self.route_stats.borrow_mut();
+        let Some(stats) = stats.get_mut(route) else {
             return;
         };
-        let relative = took / work.mean_ms.max(1.0);
-        work.mean_ms += (took - work.mean_ms) * WORK_WEIGHT;
-        let mean = work.mean_bytes.unwrap_or(bytes as f64);
-        work.mean_bytes = Some(mean + (bytes as f64 - mean) * WORK_WEIGHT);
+        let relative = took / stats.mean_ms.max(1.0);
+        stats.mean_ms += (took - stats.mean_ms) * MEAN_WEIGHT;
+        let mean = stats.mean_bytes.unwrap_or(bytes as f64);
+        stats.mean_bytes = Some(mean + (bytes as f64 - mean) * MEAN_WEIGHT);
         let mut answers = self.answers.borrow_mut();
         let sum = answers.entry(EndpointTag::of(endpoint)).or_default();
         sum.served += 1.0;
         sum.relative += relative;
     }
 
-    /// Notes that the endpoint ran a request and answered.
-    pub(super) fn answered(&self, choice: &Choice, key: Option<u16>) {
+    /// Records that the endpoint ran a request and answered.
+    pub(super) fn record_answer(&self, choice: &Choice, key: Option<u16>) {
         self.admission
             .borrow_mut()
             .record_answer(clock::mono(), choice, key);
     }
 
-    /// Takes what an endpoint of a service without keys says of its load.
-    pub(super) fn load_told(&self, job: &Job, load: Option<EndpointLoad>) {
+    /// Records the load that an endpoint of a service without keys reports.
+    pub(super) fn record_load(&self, job: &Job, load: Option<EndpointLoad>) {
         let mut admission = self.admission.borrow_mut();
         admission.record_load(&self.view.borrow(), &job.service, load);
     }
 
-    /// Notes that an endpoint of a service without keys had no room.
-    pub(super) fn turned_away(&self, job: &Job) {
+    /// Records that an endpoint of a service without keys had no room.
+    pub(super) fn record_rejection(&self, job: &Job) {
         let mut admission = self.admission.borrow_mut();
         admission.record_rejection(clock::mono(), &self.view.borrow(), &job.service);
     }
 
-    /// Whether an endpoint has said that it leaves, or is not listed.
-    pub(super) fn leaves(&self, endpoint: &EndpointStart) -> bool {
+    /// Whether an endpoint has announced that it is draining, or is not listed.
+    pub(super) fn is_leaving(&self, endpoint: &EndpointStart) -> bool {
         let view = self.view.borrow();
         let known = view.registry.get(endpoint);
         known.is_none_or(|known| known.listing.draining)
     }
 
-    /// Notes that another process has the endpoint's address.
-    pub(super) fn gone(&self, endpoint: &EndpointStart) {
+    /// Records that another process has the endpoint's address.
+    pub(super) fn record_replaced(&self, endpoint: &EndpointStart) {
         self.admission
             .borrow_mut()
             .record_replaced(clock::mono(), endpoint);
     }
 
-    /// Notes that the endpoint failed or refused a request.
-    pub(super) fn refused(&self, endpoint: &EndpointStart) {
+    /// Records that the endpoint failed or refused a request.
+    pub(super) fn record_failure(&self, endpoint: &EndpointStart) {
         let mut answers = self.answers.borrow_mut();
         answers.entry(EndpointTag::of(endpoint)).or_default().failed += 1.0;
     }
 
-    /// Notes that the endpoint took no connection or fell silent.
-    pub(super) fn unreachable(&self, endpoint: &EndpointStart) {
-        self.refused(endpoint);
+    /// Records that the endpoint accepted no connection.
+    pub(super) fn record_unreachable(&self, endpoint: &EndpointStart) {
+        self.record_failure(endpoint);
         self.admission
             .borrow_mut()
             .record_failure(clock::mono(), endpoint);
     }
 
-    /// Notes that the endpoint reset a connection.
-    pub(super) fn reset(&self, endpoint: &EndpointStart) {
-        self.refused(endpoint);
+    /// Records that the endpoint reset a connection.
+    pub(super) fn record_reset(&self, endpoint: &EndpointStart) {
+        self.record_failure(endpoint);
         self.admission
             .borrow_mut()
             .record_reset(clock::mono(), endpoint);
     }
 
-    /// Requests a second that all instances together may send to an endpoint, where it is cold
-    /// and its service states a limit.
+    /// Requests a second that all instances together may send to the endpoint. `None` if it is
+    /// not cold or its service states no limit.
     pub(super) fn cold_per_s(
         &self,
         now: Mono,
@@ -321,46 +334,46 @@
         Some(per_s * self.cold_overage)
     }
 
-    /// Notes that a cold endpoint is to get nothing for a while.
-    pub(super) fn cold_busy(&self, endpoint: &EndpointStart, for_ms: u64) {
+    /// Records that a cold endpoint takes no requests for a while.
+    pub(super) fn hold_back_cold(&self, endpoint: &EndpointStart, for_ms: u64) {
         let until = clock::mono().plus(for_ms);
         self.admission.borrow_mut().hold_back_cold(endpoint, until);
     }
 
-    /// Notes that the endpoint does not hold the key.
-    pub(super) fn not_held(&self, job: &Job, fence: u64) {
+    /// Records that the endpoint does not hold the key.
+    pub(super) fn record_not_held(&self, job: &Job, fence: u64) {
         let mut admission = self.admission.borrow_mut();
         admission.record_not_held(clock::mono(), &self.view.borrow(), job, fence);
     }
 
-    pub(super) fn view_changed(&self) {
+    pub(super) fn update_view(&self) {
         let now = clock::mono();
         self.admission
             .borrow_mut()
             .update_view(now, &self.view.borrow());
-        self.pump();
+        self.decide_waiting();
     }
 
-    /// Has requests that wait end by `end`, with the process.
-    pub(super) fn end_by(&self, end: Mono) {
+    /// Limits the deadlines of waiting requests to `end`, so that they end before the process does.
+    pub(super) fn limit_deadlines(&self, end: Mono) {
         self.admission.borrow_mut().limit_deadlines(end);
-        self.pump();
+        self.decide_waiting();
     }
 
-    /// Requests that wait at this instance.
-    pub(super) fn waiting(&self) -> usize {
+    /// Number of requests that wait at this instance.
+    pub(super) fn waiting_count(&self) -> usize {
         self.waiting.borrow().len()
     }
 
     /// Resolves once a request waits.
-    pub(super) async fn anyone_waits(&self) {
+    pub(super) async fn wait_for_waiting(&self) {
         while self.waiting.borrow().is_empty() {
-            self.any_waits.notified().await;
+            self.waiting_added.notified().await;
         }
     }
 
-    /// Decides about those that wait.
-    pub(super) fn pump(&self) {
+    /// Decides which waiting requests get a place or are refused.
+    pub(super) fn decide_waiting(&self) {
         if self.waiting.borrow().is_empty() {
             return;
         }
@@ -380,8 +393,8 @@
         }
     }
 
-    /// Account of what was seen since the last one.
-    pub(super) fn account(&self) -> TrafficReport {
+    /// Takes the report on the time since the last one, and updates the gauges.
+    pub(super) fn take_report(&self) -> TrafficReport {
         self.pool.borrow_mut().prune(clock::mono());
         let in_flight = self
             .admission
@@ -389,9 +402,9 @@
             .usage()
             .map(|(_, count, _)| count)
             .sum();
-        self.metrics.set_load(self.waiting(), in_flight);
+        self.metrics.set_load(self.waiting_count(), in_flight);
         self.metrics.set_connections(self.open_connections());
-        self.open.show_counts();
+        self.open_requests.update_metrics();
         let mut answers = std::mem::take(&mut *self.answers.borrow_mut());
         let mut endpoints: Vec<_> = self
             .admission
@@ -410,18 +423,18 @@
             answers,
             ..EndpointUse::default()
         }));
-        let keys = std::mem::take(&mut *self.keys.borrow_mut());
+        let keys = std::mem::take(&mut *self.key_samples.borrow_mut());
         let samples = keys
             .into_iter()
             .map(|(service, keys)| KeySamples { service, keys });
         let mut work = IndexMap::<ServiceName, (f64, f64)>::new();
-        for route in self.work.borrow().values() {
+        for route in self.route_stats.borrow().values() {
             let Some(service) = &route.service else {
                 continue;
             };
             let sum = work.entry(service.clone()).or_default();
-            sum.0 += route.mean_ms * route.taken as f64;
-            sum.1 += route.taken as f64;
+            sum.0 += route.mean_ms * route.requests as f64;
+            sum.1 += route.requests as f64;
         }
         let work_ms = work
             .into_iter()
@@ -436,21 +449,21 @@
         }
     }
 
-    /// Keeps signs of an account that could not be told, for the next one.
-    pub(super) fn keep_signs(&self, signs: Vec<Sign>) {
+    /// Keeps the crash signs of a report that could not be sent, for the next report.
+    pub(super) fn restore_signs(&self, signs: Vec<Sign>) {
         self.signs.borrow_mut().extend(signs);
     }
 
-    /// Notes that an endpoint crashed while it had the work.
-    pub(super) fn crashed(&self, work: Fingerprint, endpoint: &EndpointStart) {
+    /// Records that an endpoint crashed while it had the work.
+    pub(super) fn record_crash(&self, work: Fingerprint, endpoint: &EndpointStart) {
         self.metrics.count_crash();
         let endpoint = EndpointTag::of(endpoint);
         self.signs.borrow_mut().push(Sign::Crash { work, endpoint });
         self.crash_seen.notify_one();
     }
 
-    /// Notes that an endpoint ran work to its end that is under suspicion.
-    pub(super) fn cleared(&self, work: Fingerprint) {
+    /// Records that an endpoint ran work under suspicion to its end.
+    pub(super) fn record_cleared(&self, work: Fingerprint) {
         let sign = Sign::Answered { work };
         let mut signs = self.signs.borrow_mut();
         if !signs.contains(&sign) {
@@ -458,7 +471,7 @@
         }
     }
 
-    pub(super) fn connection_opened(self: &Rc<Self>) -> OpenConnection {
+    pub(super) fn track_connection(self: &Rc<Self>) -> OpenConnection {
         self.connections.set(self.connections.get() + 1);
         OpenConnection(Rc::clone(self))
     }
@@ -467,23 +480,24 @@
         self.connections.get()
     }
 
-    /// Logs how many connections are open and where their requests stand.
-    pub(super) fn log_open(&self, message: &str) {
-        self.open.log_counts(message, self.open_connections());
+    /// Logs the number of open connections and of requests at each stage.
+    pub(super) fn log_open_requests(&self, message: &str) {
+        self.open_requests
+            .log_counts(message, self.open_connections());
     }
 
-    /// Goes on to a later phase of stopping.
-    pub(super) fn enter(&self, phase: Phase) {
+    /// Enters a later phase of the stop.
+    pub(super) fn enter_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
-    /// Whether no more requests are taken because the instance stops.
+    /// Whether no more requests are accepted because the instance is stopping.
     pub(super) fn is_closing(&self) -> bool {
         *self.phase.borrow() >= Phase::Closing
     }
 
-    /// Resolves once the instance has come to a phase.
-    pub(super) async fn reached(&self, phase: Phase) {
+    /// Resolves once the instance has reached a phase.
+    pub(super) async fn wait_for_phase(&self, phase: Phase) {
         let mut phases = self.phase.subscribe();
         if phases.wait_for(|now| *now >= phase).await.is_err() {
             std::future::pending::<()>().await;
